--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -84,9 +84,9 @@
 	'allInReach || anyArmed ?' 'allInReach || !anyArmed || anyArmed ?'
 mutant group-uses-a-boundary-again "forward_.*" src/decide/forward_switch.cpp \
 	'return std::max(newestStep(_ranks) + _marginSteps, _intent.boundary + 1);' 'return newestStep(_ranks) + _marginSteps;'
-mutant gateway-takes-proofs-of-another-row "group_a_gateway_that_the_store_turns_away_goes_by_what_others_have" src/gateway/watch.cpp \
-	'covers(this->state.operators, proof.changedAt)' 'true'
-mutant gateway-trusts-old-news "group_gateways_ask_the_store_themselves_while_nobody_tells" src/gateway/watch.cpp \
+mutant gateway-takes-proofs-of-another-row "evacuation_.*" src/decide/evacuation.cpp \
+	'return _table.knownUpTo < _changedAt;' 'return false;'
+mutant gateway-trusts-old-news "group_gateways_ask_the_store_themselves_while_nobody_tells" src/gateway/watch_news.cpp \
 	'constexpr Millis kToldMaxAgeMs = 700;' 'constexpr Millis kToldMaxAgeMs = 700'"'"'000;' \
 	'constexpr double kNewsShareOfChange = 0.6;' 'constexpr double kNewsShareOfChange = 600.0;'
 mutant sidecar-takes-over-from-a-living-coordinator "group_ranks_that_start_together_agree_on_one_coordinator" src/group/sidecar.cpp \
