--- a/include/archdyke/admission.h
+++ b/include/archdyke/admission.h
@@ -1,5 +1,5 @@
-/// The queue in front of an upstream: bounded, fair between organisations by weight,
-/// and early to refuse what can't be served in time.
+/// Admission queue in front of an upstream: bounded, weighted fair between organisations, and
+/// refusing early what can't be served by its deadline.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -30,56 +30,56 @@
 	struct OrganisationQueue
 	{
 		std::deque<QueuedRun> runs;
-		double finishTag = 0.0; ///< Virtual time at which its last started run is paid for.
+		double finishTag = 0.0; ///< Virtual finish time of its last started run.
 	};
 
-	/// State of the queue.
+	/// State of the admission queue.
 	struct Admission
 	{
-		std::uint32_t slots = 1;  ///< Runs that the upstream takes at once.
-		std::size_t capacity = 0; ///< Runs that may wait.
+		std::uint32_t slots = 1;  ///< Runs that the upstream can execute at once.
+		std::size_t capacity = 0; ///< Maximum number of queued runs.
 		std::uint32_t running = 0;
 		std::size_t queued = 0;
 		double virtualTime = 0.0;
-		double meanRunMs = 50.0; ///< Moving mean of run times.
+		double meanRunMs = 50.0; ///< Moving average of run times, ms.
 		absl::btree_map<std::string, OrganisationQueue> organisations;
-		absl::flat_hash_map<std::string, double> returns; ///< When the last refused caller of an organisation was told to come back, ms.
+		absl::flat_hash_map<std::string, double> returns; ///< Latest retry time given to a refused caller of each organisation, local clock, ms.
 	};
 
-	/// Answer to an offered run.
+	/// Result of offering a run.
 	struct AdmitResult
 	{
 		RefusalReason refusal = RefusalReason::None;
-		Millis retryAfterMs = 0;       ///< Valid for a refusal and for the evicted run.
-		std::optional<RunKey> evicted; ///< A waiting run that had to give up its place.
+		Millis retryAfterMs = 0;       ///< Retry delay for the refused or the evicted run.
+		std::optional<RunKey> evicted; ///< Queued run that was evicted to make room.
 	};
 
-	/// Runs taken out of the queue.
+	/// Runs removed from the queue.
 	struct TakeResult
 	{
-		std::optional<QueuedRun> next; ///< To be started now.
-		std::vector<RunKey> expired;   ///< Whose deadline can't be met any more.
+		std::optional<QueuedRun> next; ///< Run to start now.
+		std::vector<RunKey> expired;   ///< Runs that can't meet their deadline any more.
 	};
 
-	/// @returns Estimated wait of a run of the organisation that arrives now, ms.
-	/// Waiting runs ahead, times mean run time, by slots; an organisation waits at most
-	/// for its own runs at its share of the slots.
+	/// @returns Estimated queueing time of a run of the organisation that arrives now, ms: queued
+	/// runs ahead of it, times the mean run time, divided by the slots. An organisation waits at
+	/// most for its own runs at its share of the slots.
 	Millis estimateWaitMs(const Admission& _admission, const std::string& _organisation, std::uint32_t _weight);
 
-	/// Offers a run to the queue. Refuses at once what can't end by its deadline. Callers
-	/// that are refused are told to come back one after the other, at the rate at which
-	/// their organisation is served, and not all together.
-	/// When the queue is full, the organisation that holds most of it for its weight
-	/// gives up its newest run, or the offered run is refused if it is that one's.
+	/// Offers a run to the queue. Refuses at once a run that can't finish by its deadline.
+	/// The retry times of refused callers are spaced at the rate at which their organisation is
+	/// served, so that they don't all retry together.
+	/// When the queue is full, the newest run of the organisation with the most queued runs for
+	/// its weight is evicted, or the offered run is refused if that organisation offered it.
 	AdmitResult admitRun(Admission& _admission, const QueuedRun& _run, Millis _now);
 
-	/// Takes the next run if a slot is free: start-time fair queueing, see P. Goyal,
+	/// Dequeues the next run if a slot is free, and all expired ones. Start-time fair queueing, see P. Goyal,
 	/// H. M. Vin, H. Cheng, "Start-time Fair Queueing", SIGCOMM 1996.
 	TakeResult takeRun(Admission& _admission, Millis _now);
 
-	/// Takes a waiting run out, if it is there.
+	/// Removes a queued run, if present.
 	void removeRun(Admission& _admission, const RunKey& _key);
 
-	/// Gives a slot back.
+	/// Releases the slot of a finished run.
 	void endRun(Admission& _admission, Millis _runMs);
 } // namespace archdyke
--- a/include/archdyke/back_off.h
+++ b/include/archdyke/back_off.h
@@ -1,7 +1,7 @@
-/// How long an upstream wants nothing from the process that calls it, a gateway or its agent, as it said itself.
+/// Back-off that an upstream requests from the process that calls it, a gateway or its agent.
 ///
-/// Answers the load of an upstream that turns requests away and says for how long. Each caller is told by
-/// itself, so each keeps what it was told; nothing passes between gateways.
+/// Handles an upstream that rejects requests with a Retry-After. Each calling process gets such a response
+/// itself and keeps its own state; gateways don't exchange it.
 #pragma once
 
 #include <optional>
@@ -11,22 +11,22 @@
 
 namespace archdyke
 {
-	/// What an upstream asked of this process.
+	/// Back-off that an upstream requested from this process.
 	struct BackOff
 	{
-		Millis until = 0; ///< Own clock; 0: it never asked.
+		Millis until = 0; ///< Local clock; 0 if it never requested any.
 
 		bool operator==(const BackOff&) const = default;
 	};
 
 	/// @param[in] _seconds Value of a Retry-After header (RFC 9110, 10.2.3): "3", "1.5".
-	/// @returns The time in ms, a year at most; none when it is no time. A date, which HTTP allows there, isn't read.
+	/// @returns The delay in ms, a year at most; none when it isn't a number of seconds. The date form that HTTP allows isn't supported.
 	std::optional<Millis> parseBackOff(std::string_view _seconds);
 
-	/// Takes in that an upstream asked for some time. A shorter one that is asked for later ends nothing.
-	/// @returns Whether none was under way.
+	/// Records a back-off requested by an upstream. A later, shorter request doesn't end an active back-off earlier.
+	/// @returns Whether no back-off was active before.
 	bool noteBackOff(BackOff& _backOff, Millis _askedMs, Millis _now);
 
-	/// @returns How much longer the upstream wants nothing, ms.
+	/// @returns Remaining back-off of the upstream, ms.
 	Millis backOffLeftMs(const BackOff& _backOff, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/batch_admission.h
+++ b/include/archdyke/batch_admission.h
@@ -1,8 +1,9 @@
-/// How much work engines that batch get at once, so that streams keep their objectives.
+/// Limits the number of concurrent requests of batching engines, so that streams meet their
+/// objectives.
 ///
-/// A pass of a batch lengthens with each request in it, and in a lock-step group all streams
-/// wait for the longest pass. Beyond what fits the objective, one more stream makes all late:
-/// it is refused at once, with a time to come back, instead.
+/// A pass takes longer with each request in the batch, and in a lock-step group all streams wait
+/// for the longest pass. One stream more than the objective allows would make all of them late,
+/// so it is refused at once with a retry delay instead.
 #pragma once
 
 #include "archdyke/catalog.h"
@@ -10,31 +11,31 @@
 
 namespace archdyke
 {
-	/// What is known of the engines of a service.
+	/// Load of the engines of a service, as reported.
 	struct BatchView
 	{
-		double passMs = 0.0;   ///< Mean time of the last passes; 0 when unknown.
-		double meanLoad = 0.0; ///< Requests of an engine, mean.
+		double passMs = 0.0;   ///< Mean time of recent passes; 0 when unknown.
+		double meanLoad = 0.0; ///< Mean number of requests per engine.
 
 		bool operator==(const BatchView&) const = default;
 	};
 
-	/// A request that asks to be let in.
+	/// A request to be admitted.
 	struct BatchRequest
 	{
-		Millis gapObjectiveMs = 0; ///< Longest pause between events; 0 when none is declared.
+		Millis gapObjectiveMs = 0; ///< Maximum gap between events; 0 when none is declared.
 		bool cameBack = false;     ///< It was refused before.
 
 		bool operator==(const BatchRequest&) const = default;
 	};
 
-	/// @returns Requests that one engine may have at once for the objective to hold.
+	/// @returns Maximum number of concurrent requests per engine that meets the objective.
 	double batchLimit(const EngineModel& _model, const BatchView& _view, Millis _gapObjectiveMs);
 
-	/// @returns Whether the request may be sent now.
+	/// @returns Whether the request is admitted now.
 	bool mayEnter(const EngineModel& _model, const BatchView& _view, const BatchRequest& _request);
 
-	/// @returns How long a request may wait for room before it is refused, ms: refusals
-	/// within a quarter of the objective let a caller come back in time.
+	/// @returns How long a request may wait for capacity before it is refused, ms. A refusal within
+	/// a quarter of the objective lets the caller retry in time.
 	Millis longestWait(Millis _objectiveMs);
 } // namespace archdyke
--- a/include/archdyke/cold_share.h
+++ b/include/archdyke/cold_share.h
@@ -1,11 +1,11 @@
-/// How many requests one gateway may send to an upstream that can't take its full share yet.
+/// Limits how many requests one gateway sends to a cold upstream, which can't take its full load yet.
 ///
-/// Answers the load of upstreams that come back together while callers wait: all gateways see them
-/// empty at the same time, and each alone would send them what they bear from all. Gateways don't
-/// speak with each other, so each goes by their number alone: it has a fixed count of sends in a
-/// window, and by a hash of its name and of the upstream's incarnation perhaps one more. Hashes
-/// scatter, so less is dealt out than an upstream survives: for one upstream in a million more
-/// gateways than that have the further send.
+/// Handles upstreams that restart together while callers wait: all gateways see them idle at the same
+/// time, and each gateway alone would send as much as they can take from all. Gateways don't communicate
+/// with each other, so each derives its share from the number of gateways alone: a fixed number of sends
+/// per window, plus one for a part of the gateways, selected by a hash of the gateway's name and the
+/// upstream's incarnation. The number of selected gateways varies, so the shares add up to less than the
+/// peak rate: the probability that an upstream gets more is one in a million.
 #pragma once
 
 #include <cstddef>
@@ -18,57 +18,58 @@
 
 namespace archdyke
 {
-	/// What one cold upstream may get.
+	/// Capacity of a cold upstream and who shares it.
 	struct ColdTerms
 	{
-		double bornePerS = 0.0;     ///< Arrivals a second that it bears, of all gateways together.
+		double bornePerS = 0.0;     ///< Arrivals per second that it sustains, from all gateways together.
 		double mostPerS = 0.0;      ///< Arrivals in any one second that it survives.
-		std::uint32_t gateways = 1; ///< That share them.
-		Millis assumedMs = 0;       ///< How long one counts as cold that may have turned cold and doesn't say.
+		std::uint32_t gateways = 1; ///< Gateways that share these rates.
+		Millis assumedMs = 0;       ///< Assumed cold time of an upstream that may have become cold and doesn't report it.
 
 		bool operator==(const ColdTerms&) const = default;
 	};
 
-	/// What one gateway may send to one cold upstream in a window.
+	/// Sends of one gateway to one cold upstream in a window.
 	struct ColdShare
 	{
-		std::uint32_t sends = 0;   ///< Of each gateway.
-		double chanceOfMore = 0.0; ///< Share of the gateways that have one send more, 0 to 1.
+		std::uint32_t sends = 0;   ///< Sends of each gateway.
+		double chanceOfMore = 0.0; ///< Share of the gateways that get one more send, 0 to 1.
 
 		bool operator==(const ColdShare&) const = default;
 	};
 
-	/// How cold an upstream is, and what this gateway sent there.
+	/// Cold state of an upstream and the recent sends of this gateway to it.
 	struct ColdState
 	{
-		Millis until = 0;         ///< Own clock; 0: not cold.
-		std::deque<Millis> sends; ///< Of the last window, oldest first.
+		Millis until = 0;         ///< End of the cold time, local clock; 0: not cold.
+		std::deque<Millis> sends; ///< Sends in the last window, oldest first.
 
 		bool operator==(const ColdState&) const = default;
 	};
 
-	/// @returns How many gateways share what cold upstreams bear: as many as were told of steadily, else
-	/// more than the upstreams suggest. One that was restarted or is cut off is told nothing.
-	/// @param[in] _upstreams Of all services.
-	/// @param[in] _windowMs Of what was told the most counts for this long.
+	/// Estimates how many gateways share the capacity of cold upstreams: the reported count if it was
+	/// stable, else a high estimate from the number of upstreams. A gateway that just restarted or is
+	/// partitioned gets no reports.
+	/// @param[in] _upstreams Number of upstreams of all services.
+	/// @param[in] _windowMs The maximum of the counts reported in this time is used.
 	std::uint32_t gatewaysAssumed(const ResendShare& _told, std::size_t _upstreams, Millis _windowMs, Millis _now);
 
-	/// @returns Shares that keep all gateways together within the terms.
+	/// @returns Shares that keep all gateways together within the capacity.
 	ColdShare coldShareOf(const ColdTerms& _terms);
 
-	/// @returns Sends of a gateway to an upstream in a window. The same after a restart of the gateway.
+	/// @returns Sends of a gateway to an upstream per window. Unchanged by a restart of the gateway.
 	std::uint32_t sendsInWindow(const ColdShare& _share, std::string_view _gateway, std::string_view _incarnation);
 
-	/// Takes in that an upstream is cold for some time. What was known of a longer time stays.
+	/// Records that an upstream is cold for some time. Never shortens a known cold time.
 	void noteCold(ColdState& _state, Millis _forMs, Millis _now);
 
-	/// @returns How much longer an upstream counts as cold, ms.
+	/// @returns Remaining cold time of an upstream, ms.
 	Millis warmInMs(const ColdState& _state, Millis _now);
 
 	/// @returns Whether this gateway may send to a cold upstream now.
-	/// @param[in] _sends That it has in a window.
+	/// @param[in] _sends Sends per window that this gateway has; see sendsInWindow.
 	bool maySendCold(const ColdState& _state, std::uint32_t _sends, Millis _now);
 
-	/// Takes in that this gateway sends to a cold upstream.
+	/// Records a send of this gateway to a cold upstream.
 	void noteColdSend(ColdState& _state, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/come_back.h
+++ b/include/archdyke/come_back.h
@@ -1,4 +1,4 @@
-/// When a caller that was refused is told to come back.
+/// Retry delays that are given to refused callers.
 #pragma once
 
 #include <optional>
@@ -12,15 +12,15 @@
 	/// Why a request is refused without having run.
 	enum class RefusalCause
 	{
-		NoConfiguration,  ///< None is known yet.
-		StaleProof,       ///< Whether its key still holds can't be told.
-		NoUpstream,       ///< No upstream takes work.
-		Overloaded,       ///< All upstreams have what they can do in time.
-		ColdUpstreams,    ///< The upstreams that are left are cold and have what they bear.
-		BackOff,          ///< All upstreams that are left asked to be sent nothing for some time.
+		NoConfiguration,  ///< No configuration is known yet.
+		StaleProof,       ///< The configuration may be outdated, so the caller's key can't be verified.
+		NoUpstream,       ///< No upstream accepts requests.
+		Overloaded,       ///< All upstreams have as many requests as they can serve in time.
+		ColdUpstreams,    ///< The remaining upstreams are cold and at their limit.
+		BackOff,          ///< All remaining upstreams requested a back-off.
 		Evacuated,        ///< The zones of all upstreams are evacuated.
-		GroupDown,        ///< The group of engine ranks stands still or forms.
-		CrashesUpstreams, ///< Several upstreams ended under it.
+		GroupDown,        ///< The group of engine ranks is stalled or forming.
+		CrashesUpstreams, ///< Several upstreams crashed while they ran it.
 		Leaving,          ///< This gateway is stopping.
 		Count
 	};
@@ -29,7 +29,7 @@
 	std::string_view toString(RefusalCause _cause);
 
 	/// @param[in] _reopenMs Expected time until the cause is over; none when unknown.
-	/// @param[in] _patienceMs Time that the caller has left.
-	/// @returns Time to wait, ms, drawn so that callers refused together don't come together.
+	/// @param[in] _patienceMs Time until the caller gives up.
+	/// @returns Retry delay, ms, with jitter so that callers refused together don't retry together.
 	Millis comeBackAfter(RefusalCause _cause, std::optional<Millis> _reopenMs, Millis _patienceMs, Random& _random);
 } // namespace archdyke
--- a/include/archdyke/crash_blame.h
+++ b/include/archdyke/crash_blame.h
@@ -1,9 +1,9 @@
-/// Which requests crash the upstreams that run them, as far as this process knows of crashes.
+/// Tracks which requests crash the upstreams that run them, from the crashes known to this process.
 ///
-/// Answers a request that ends every process which begins to run it: its tries, and its caller's
-/// repeats through other gateways, would end one upstream after the other. A crash is held against
-/// each request that ran there, since nobody can tell which one caused it. Bystanders are cleared by
-/// the next run that comes to an end; a request that has ended several upstreams is refused.
+/// Handles a request that crashes every upstream that runs it: its attempts, and its caller's retries
+/// through other gateways, would crash one upstream after the other. A crash is attributed to each
+/// request that was running there, since it is unknown which one caused it. Other requests are cleared
+/// by their next completed run; a request during which several upstreams crashed is refused.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -20,51 +20,51 @@
 	/// An upstream that crashed while it ran a request.
 	struct Crash
 	{
-		std::string request;     ///< Fingerprint: same target, caller and body.
-		std::string incarnation; ///< The process that ended.
+		std::string request;     ///< Fingerprint of target, caller and body.
+		std::string incarnation; ///< The process that crashed.
 
 		auto operator<=>(const Crash&) const = default;
 	};
 
-	/// Crashes by the requests that ran there, own clock.
+	/// Crashes by request.
 	struct CrashTable
 	{
-		absl::flat_hash_map<std::string, std::map<std::string, Millis>> byRequest; ///< Then by incarnation.
+		absl::flat_hash_map<std::string, std::map<std::string, Millis>> byRequest; ///< Request, then incarnation, to time of the crash, local clock.
 	};
 
-	/// Upstreams after which a request is refused: of one or two it may have been a bystander.
+	/// Crashed upstreams after which a request is refused: one or two may have been caused by others.
 	constexpr std::size_t kCrashesToRefuse = 3;
-	/// How long a crash is held against a request, ms: callers repeat for minutes, and a faulty release of the
-	/// upstream is rolled back in such a time.
+	/// How long a crash stays attributed to a request: callers retry for minutes, and a faulty release of the
+	/// upstream is rolled back within this time.
 	constexpr Millis kBlameMs = 600'000;
 
-	/// Takes in that an upstream crashed under a request.
-	/// @param[in] _at Own clock.
-	/// @returns Whether it wasn't known.
+	/// Records that an upstream crashed while it ran a request.
+	/// @param[in] _at Local clock.
+	/// @returns Whether the crash is new.
 	bool noteCrash(CrashTable& _table, const Crash& _crash, Millis _at);
 
-	/// A crash isn't held against a request any longer.
+	/// Removes a crash.
 	void dropCrash(CrashTable& _table, const Crash& _crash);
 
-	/// @returns Whether a crash is held against a request.
+	/// @returns Whether a crash is recorded.
 	bool isHeld(const CrashTable& _table, const Crash& _crash);
 
-	/// A run of a request came to an end that its upstream made.
-	/// @returns The crashes that were held against it.
+	/// Removes all crashes of a request after its upstream completed a run of it.
+	/// @returns The removed crashes.
 	std::vector<Crash> clearRequest(CrashTable& _table, const std::string& _request);
 
-	/// @returns Upstreams that crashed under a request lately.
+	/// @returns Number of upstreams that recently crashed while they ran a request.
 	std::size_t crashesOf(const CrashTable& _table, const std::string& _request, Millis _now);
 
-	/// @returns How much longer a request is refused, ms; none when it may run.
+	/// @returns How much longer a request is refused, ms; none if it may run.
 	std::optional<Millis> refusedForMs(const CrashTable& _table, const std::string& _request, Millis _now);
 
-	/// Forgets crashes that are held against nobody any more.
-	/// @returns These.
+	/// Removes expired crashes.
+	/// @returns The removed crashes.
 	std::vector<Crash> forgetCrashes(CrashTable& _table, Millis _now);
 
-	/// Requests that came to an end lately, by hash, in two generations. Many callers ask for the same: such a
-	/// request may be on each of several upstreams that crash together, and is not to blame for it.
+	/// Recently completed requests, by hash, in two generations. When many callers send the same request, it may
+	/// be running on each of several upstreams that crash together without being the cause.
 	struct RecentRuns
 	{
 		absl::flat_hash_set<std::size_t> newer;
@@ -72,14 +72,14 @@
 		Millis newerSince = 0;
 	};
 
-	/// How long a generation is added to, ms.
+	/// Time for which a generation is filled.
 	constexpr Millis kGenerationMs = 10'000;
-	/// Requests of a generation; the others aren't kept.
+	/// Maximum requests per generation; more are ignored.
 	constexpr std::size_t kMostRuns = 50'000;
 
-	/// Takes in that a run of a request came to an end.
+	/// Records a completed run of a request.
 	void noteRun(RecentRuns& _runs, std::size_t _request, Millis _now);
 
-	/// @returns Whether a request ran lately: within one generation at least, two at most.
+	/// @returns Whether a request completed recently: within one to two generations.
 	bool ranLately(const RecentRuns& _runs, std::size_t _request, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/evacuation.h
+++ b/include/archdyke/evacuation.h
@@ -1,9 +1,9 @@
-/// Which zones are evacuated, by the newest rows of the operators' table that are known.
+/// Tracks which zones are evacuated, from the newest known rows of the operators' table.
 ///
-/// Load answered: an operator empties a zone and takes it back while the configuration changes, the
-/// store forgets its history, and answers of it come directly or by way of others, in any order. A zone
-/// must not get work again by an answer that was late, nor stay empty by one that was never sent: a
-/// table that is read whole doesn't say when a row went.
+/// Handles an operator who starts and ends an evacuation while the configuration changes, the store
+/// loses its history, and its responses arrive directly or relayed by others, in any order. A late
+/// response must not end an evacuation, and a missing one must not keep a zone evacuated: a full read
+/// of the table doesn't report when a row was removed.
 #pragma once
 
 #include <cstdint>
@@ -13,35 +13,35 @@
 
 namespace archdyke
 {
-	/// A row that evacuates a zone while it is there.
+	/// A row of the operators' table; a zone is evacuated while its row exists.
 	struct EvacuationRow
 	{
 		std::string zone;
-		std::uint64_t version = 0; ///< When it was last written or removed.
+		std::uint64_t version = 0; ///< Version at which it was last written or removed.
 		bool gone = false;         ///< It was removed.
 
 		bool operator==(const EvacuationRow&) const = default;
 	};
 
-	/// What is known of one zone's row.
+	/// Known state of a zone's row.
 	struct ZoneEvacuation
 	{
-		std::uint64_t version = 0; ///< Up to which it is known.
-		bool inForce = false;
+		std::uint64_t version = 0; ///< Version up to which the state is known.
+		bool inForce = false;      ///< The zone is evacuated.
 
 		bool operator==(const ZoneEvacuation&) const = default;
 	};
 
-	/// What is known of the operators' table, apart from the configuration itself.
+	/// Known state of the operators' table, apart from the configuration itself.
 	struct OperatorTable
 	{
-		std::map<std::string, ZoneEvacuation> zones; ///< Those that were taken back too, so that an older row doesn't undo it.
-		std::uint64_t knownUpTo = 0;                 ///< All changes up to this version are in.
+		std::map<std::string, ZoneEvacuation> zones; ///< Includes zones whose evacuation ended, so that an older row doesn't start it again.
+		std::uint64_t knownUpTo = 0;                 ///< All changes up to this version are applied.
 
 		bool operator==(const OperatorTable&) const = default;
 	};
 
-	/// A zone that is evacuated or taken back from now on.
+	/// Start or end of a zone's evacuation.
 	struct ZoneChange
 	{
 		std::string zone;
@@ -51,21 +51,21 @@
 		bool operator==(const ZoneChange&) const = default;
 	};
 
-	/// Takes in an answer of the store.
-	/// @param[in] _rows Those of zones.
-	/// @param[in] _version Up to which the answer tells all changes.
-	/// @param[in] _whole The rows are all there are: a zone that isn't named isn't evacuated.
-	/// @returns What has changed by it.
+	/// Applies a response of the store.
+	/// @param[in] _rows The rows of zones in it.
+	/// @param[in] _version Version up to which it includes all changes.
+	/// @param[in] _whole It is a full read: a zone without a row isn't evacuated.
+	/// @returns The resulting changes.
 	std::vector<ZoneChange> takeEvacuations(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, bool _whole);
 
-	/// @returns Whether others know a change that isn't known here, by a proof of theirs: a proof that tells of
-	/// none holds for what is known here.
-	/// @param[in] _changedAt No change up to the proof is newer.
+	/// @returns Whether another process's proof covers a change that isn't known here. Otherwise the proof also
+	/// holds for the state known here.
+	/// @param[in] _changedAt Version of the newest change up to the proof.
 	bool isBehind(const OperatorTable& _table, std::uint64_t _changedAt);
 
-	/// @returns Whether a zone's upstreams get nothing.
+	/// @returns Whether a zone is evacuated: its upstreams get no requests.
 	bool isEvacuated(const OperatorTable& _table, const std::string& _zone);
 
-	/// @returns The evacuated zones, by name.
+	/// @returns The names of the evacuated zones, sorted.
 	std::vector<std::string> evacuatedZones(const OperatorTable& _table);
 } // namespace archdyke
--- a/include/archdyke/freshness.h
+++ b/include/archdyke/freshness.h
@@ -1,9 +1,8 @@
-/// How old the proof is that the configuration held is the newest one.
+/// Age of the proof that the configuration held by this process is the newest one.
 ///
-/// The store stamps its answers with a steady clock of its own. An answer can stay on its
-/// way for long, so what counts is when the store made it, told conservatively on this
-/// process's clock: the store's clock is at least as far ahead as any call shows that was
-/// sent before the store handled it.
+/// The store adds the time of its own steady clock to its responses. A response can be delayed, so
+/// its age counts from when the store made it, converted to the local clock conservatively: a call
+/// is sent before the store handles it, so each call gives a lower bound of the clock offset.
 #pragma once
 
 #include <optional>
@@ -12,29 +11,29 @@
 
 namespace archdyke
 {
-	/// What is known of the store's clock and of the newest proof.
+	/// Offset of the store's clock and time of the newest proof.
 	struct Freshness
 	{
-		std::optional<Millis> offset;   ///< Least value of own clock less the store's.
-		std::optional<Millis> provenAt; ///< Own clock: the configuration was the newest then.
+		std::optional<Millis> offset;   ///< Lower bound of the local clock minus the store's clock, ms.
+		std::optional<Millis> provenAt; ///< Local clock: when the configuration was the newest.
 
 		bool operator==(const Freshness&) const = default;
 	};
 
-	/// Takes in what an answer of the store tells of its clock.
-	/// @param[in] _sentAt Own clock when the call was sent.
+	/// Updates the clock offset from a response of the store.
+	/// @param[in] _sentAt Local clock when the call was sent.
 	void noteClock(Freshness& _freshness, Millis _sentAt, Millis _storeTime);
 
-	/// Takes in an answer that shows the newest configuration.
-	/// @param[in] _sentAt Own clock when the call was sent.
-	/// @param[in] _storeTime The store's clock when it answered; none when it didn't say.
+	/// Records a response of the store that shows the newest configuration.
+	/// @param[in] _sentAt Local clock when the call was sent.
+	/// @param[in] _storeTime The store's clock when it responded; none if it didn't report it.
 	void noteProof(Freshness& _freshness, Millis _sentAt, std::optional<Millis> _storeTime);
 
-	/// @returns Own clock, conservatively, at a moment of the store's; none before the first call.
+	/// @returns The store's time converted to the local clock, conservatively; none before the first call.
 	std::optional<Millis> ownTimeOf(const Freshness& _freshness, Millis _storeTime);
 
-	/// Takes in a proof of the held configuration that another process got from the store.
-	/// @param[in] _storeTime The store's clock when it answered that process.
+	/// Records a proof of the held configuration that another process got from the store and relayed.
+	/// @param[in] _storeTime The store's clock when it responded to that process.
 	void noteToldProof(Freshness& _freshness, Millis _storeTime);
 
 	/// @returns Age of the proof, ms; none before the first one.
--- a/include/archdyke/group_choice.h
+++ b/include/archdyke/group_choice.h
@@ -1,7 +1,7 @@
-/// Which group of engine ranks gets a request, before a rank of it is chosen.
+/// Chooses the group of engine ranks that gets a request, before a rank of the group is chosen.
 ///
-/// The ranks of a group advance in lock-step, so a request meets the pass time, the load and the
-/// faults of its group, not of its rank. Groups of one service fail and slow down independently.
+/// The ranks of a group advance in lock-step, so pass time, load and faults affect a request per
+/// group, not per rank. Groups of one service fail and slow down independently.
 #pragma once
 
 #include <cstddef>
@@ -14,38 +14,38 @@
 
 namespace archdyke
 {
-	/// How a group fares, the best first.
+	/// Status of a group, best first.
 	enum class GroupStanding
 	{
-		InTime,  ///< Open, its passes keep the objective of pauses.
-		Late,    ///< Open, its passes don't.
-		Unknown, ///< Nothing was heard of it lately.
-		Down,    ///< Stands still, forms, or failed a request just now.
+		InTime,  ///< Open; its passes meet the objective for gaps between events.
+		Late,    ///< Open; its passes miss that objective.
+		Unknown, ///< No recent report.
+		Down,    ///< Stalled, forming, or just failed a request.
 		Count
 	};
 
 	/// @returns The name used in logs.
 	std::string_view toString(GroupStanding _standing);
 
-	/// A group that a request may go to.
+	/// A group to choose from.
 	struct GroupCandidate
 	{
 		GroupStanding standing = GroupStanding::Unknown;
-		bool hasRoom = true;        ///< One more request keeps what its ranks may have.
-		double fullness = 0.0;      ///< Requests of a rank, with the new one, over what it may have.
-		double room = 1.0;          ///< Requests that all its ranks may still get.
-		double ownZoneShare = 0.0;  ///< Of its ranks, 0 to 1.
-		bool failedRequest = false; ///< This request failed there already.
+		bool hasRoom = true;        ///< One more request stays within the limit of its ranks.
+		double fullness = 0.0;      ///< Requests per rank, including the new one, divided by the limit per rank.
+		double room = 1.0;          ///< Free capacity: further requests that its ranks may take together.
+		double ownZoneShare = 0.0;  ///< Share of its ranks in the own zone, 0 to 1.
+		bool failedRequest = false; ///< This request already failed there.
 
 		bool operator==(const GroupCandidate&) const = default;
 	};
 
-	/// Chooses among the groups that have room: those in time first, those in the own zone unless
-	/// others are much emptier, and among equals at random by their room, since all gateways know
-	/// the same loads, some 100 ms old, and would all take the emptiest one.
-	/// @returns Index of the chosen one; none when no group that isn't down has room.
+	/// Chooses among the groups with free capacity: groups in time first, then groups of the own
+	/// zone unless others are much less utilized, then at random weighted by free capacity. All
+	/// gateways see the same loads, about 100 ms old, and would otherwise choose the same group.
+	/// @returns Index of the chosen one; none when all groups are down or full.
 	std::optional<std::size_t> chooseGroup(const std::vector<GroupCandidate>& _candidates, Random& _random);
 
-	/// Naive version, for comparison: the emptiest one wherever it is.
+	/// Baseline for comparison: chooses the least utilized group of any zone.
 	std::optional<std::size_t> chooseEmptiestGroup(const std::vector<GroupCandidate>& _candidates);
 } // namespace archdyke
--- a/include/archdyke/limits.h
+++ b/include/archdyke/limits.h
@@ -1,4 +1,4 @@
-/// Limits of organisations: a token bucket each, its rate divided among the entries.
+/// Rate limits of organisations: one token bucket each, its rate divided among the entries.
 #pragma once
 
 #include <cstdint>
@@ -8,16 +8,16 @@
 
 namespace archdyke
 {
-	/// What one entry lets an organisation do.
+	/// Rate limit of an organisation.
 	struct RateLimit
 	{
-		double perSecond = 0.0; ///< Requests a second.
-		double burst = 0.0;     ///< Requests at once.
+		double perSecond = 0.0; ///< Requests per second.
+		double burst = 0.0;     ///< Capacity of the bucket, requests.
 
 		bool operator==(const RateLimit&) const = default;
 	};
 
-	/// State of a bucket. A new one is full.
+	/// State of a token bucket. A new bucket is full.
 	struct Bucket
 	{
 		double tokens = 0.0;
@@ -27,11 +27,11 @@
 		bool operator==(const Bucket&) const = default;
 	};
 
-	/// @returns The part of a limit that one of _entries entries may give out. The sum
-	/// over all entries is the limit; a burst is at least one request an entry.
+	/// @returns The share of a limit that each of _entries entries enforces. The shares add up to
+	/// the limit, except that each entry allows a burst of at least one request.
 	RateLimit shareOf(const RateLimit& _limit, std::uint32_t _entries);
 
 	/// Takes a token.
-	/// @returns Nothing when there was one; else the time until there is one, ms.
+	/// @returns None if a token was taken, else the time until the next token, ms.
 	std::optional<Millis> takeToken(Bucket& _bucket, const RateLimit& _limit, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/outage.h
+++ b/include/archdyke/outage.h
@@ -1,6 +1,6 @@
-/// Who waits while no group of a service serves. The load pattern: all ranks of a group stand still and
-/// form anew, or all processes were killed, and callers whose streams broke come back before it opens.
-/// Most callers come back once, so one that is refused then is lost.
+/// Decides which callers wait while no group of a service is serving. This happens when all ranks of a
+/// group stall and form again, or all processes were killed: callers whose streams broke retry before the
+/// group opens. Most callers retry once, so one that is refused then is lost.
 #pragma once
 
 #include <optional>
@@ -9,33 +9,33 @@
 
 namespace archdyke
 {
-	/// Since when no group of a service serves, as one gateway sees it when requests come.
+	/// Outage of a service, as observed by one gateway when requests arrive.
 	struct Outage
 	{
-		Millis since = 0; ///< 0: none is under way.
-		Millis seenAt = 0;
+		Millis since = 0;  ///< 0: no outage.
+		Millis seenAt = 0; ///< When a request last observed it.
 
 		bool operator==(const Outage&) const = default;
 	};
 
-	/// A caller of a service that nobody serves just now.
+	/// A caller of a service during an outage.
 	struct WaitingCaller
 	{
-		bool cameBack = false; ///< It was refused before, or its answer broke.
-		Millis patienceMs = 0; ///< What it had left when it came.
+		bool cameBack = false; ///< It was refused before, or its response broke off.
+		Millis patienceMs = 0; ///< Time until it gives up, as of its arrival.
 		Millis waitedMs = 0;
 
 		bool operator==(const WaitingCaller&) const = default;
 	};
 
-	/// Notes whether any group serves.
+	/// Records whether any group is serving.
 	void noteOutage(Outage& _outage, bool _serves, Millis _now);
 
-	/// @returns Whether a caller may wait on: it is here for the second time, a group is expected to open
-	/// soon, and enough of its patience is left then. Others are told when to come back.
+	/// @returns Whether a caller may keep waiting: it is a returning caller, a group is expected to open
+	/// soon, and enough time is left then before it gives up. Others get a retry delay.
 	bool mayAwaitOpening(const Outage& _outage, const WaitingCaller& _caller, Millis _now);
 
-	/// @returns When a group is expected to open, ms from now; none when the outage has lasted too long to
-	/// tell. Who comes back a little early waits.
+	/// @returns Expected time until a group opens, ms; none if there is no outage or it has lasted too long for
+	/// an estimate. Callers that retry slightly early wait.
 	std::optional<Millis> expectedOpeningMs(const Outage& _outage, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/resend_share.h
+++ b/include/archdyke/resend_share.h
@@ -1,15 +1,17 @@
-/// Which part of the fixed allowance of resends one gateway may spend, so that the sum over all
-/// gateways stays within it whatever number of them lives.
+/// Share of the fixed resend allowance that one gateway may spend, so that the sum over all gateways
+/// stays within the allowance for any number of gateways.
 ///
-/// Answers the load of a fault that makes many requests fail at once, in a deployment whose number of
-/// gateways nobody has set: the allowance was dealt to 64 of them, and 149 spent 2.3 times as much.
-/// Gateways are told how many they are by the coordinators that they ask. A gateway goes by the most
-/// that it was told in some windows, so that those that left or were cut off don't enlarge the others' shares
-/// while their own resends still count; it spends nothing of the allowance before it was told steadily for a while,
-/// as all count slowly upwards after a mass restart; and what it was told lapses.
+/// Handles a fault that makes many requests fail at once in a deployment whose number of gateways isn't
+/// configured: with the allowance divided by a fixed 64, 149 gateways spent 2.3 times as much.
+/// Coordinators report the number of gateways to the gateways that poll them.
+/// - A gateway uses the maximum reported in the last few windows, so that gateways that left or were
+///   partitioned don't enlarge the shares of the others while their own resends still count.
+/// - It uses only a minimum share until the reported count has been stable for a while, since the
+///   count rises slowly after a mass restart.
+/// - Reports expire.
 ///
-/// In a large fleet a share is less than one resend in a window. Each gateway rounds it up or down by
-/// a number of its own, drawn evenly, so that the part that may be spent is the same at any size.
+/// In a large fleet a share is less than one resend per window. Each gateway rounds it up or down by
+/// a uniformly random offset of its own, so that the total is the same for any size of the fleet.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +23,7 @@
 
 namespace archdyke
 {
-	/// How many gateways there were, as told at one time.
+	/// Number of gateways as reported at one time.
 	struct GatewayCount
 	{
 		Millis at = 0;
@@ -30,32 +32,33 @@
 		bool operator==(const GatewayCount&) const = default;
 	};
 
-	/// What one gateway was told of their number.
+	/// Gateway counts reported to one gateway, and its rounding offset.
 	struct ResendShare
 	{
-		std::deque<GatewayCount> told; ///< Of the last windows, oldest first.
-		Millis firstToldAt = 0;        ///< In this life of the process; 0: never told.
-		Millis steadySince = 0;        ///< Since when it has been told without a gap and without growth; 0: never told.
-		double rounding = 0.0;         ///< Part of a resend by which shares are rounded up, below 1.
-		Millis roundingUntil = 0;      ///< When it is drawn anew.
+		std::deque<GatewayCount> told; ///< Reports of the last windows, oldest first.
+		Millis firstToldAt = 0;        ///< First report since the process started; 0: none.
+		Millis steadySince = 0;        ///< Since when counts were reported without a gap and without growth; 0: no report yet.
+		double rounding = 0.0;         ///< Rounding offset added to the share, resends, below 1.
+		Millis roundingUntil = 0;      ///< When the offset is renewed.
 	};
 
-	/// Takes in a number that was told.
-	/// @param[in] _windowMs In which resends are counted.
+	/// Records a reported number of gateways.
+	/// @param[in] _windowMs Window in which resends are counted.
 	void noteGateways(ResendShare& _share, std::uint32_t _count, Millis _windowMs, Millis _now);
 
-	/// Gateways that are assumed while nobody tells: more than any deployment has, five times the
-	/// daemons it is planned for.
+	/// Gateways that are assumed while no count is reported: more than in any deployment, five times
+	/// the planned number of daemons.
 	constexpr std::uint32_t kMostGateways = 2'048;
 
-	/// @param[in] _steadyMs For how long the number must have been told without a gap and without growth.
-	/// @returns The most gateways that were told of in a window; none when it wasn't told steadily.
+	/// @param[in] _steadyMs How long counts must have been reported without a gap and without growth.
+	/// @returns Maximum count reported in a window; none if the reports weren't stable for that long.
 	std::optional<std::uint32_t> gatewaysTold(const ResendShare& _share, Millis _windowMs, Millis _steadyMs, Millis _now);
 
-	/// @returns Part of the allowance that this gateway may spend in a window, 0 to 1.
+	/// @returns Share of the allowance that this gateway may spend in a window, 0 to 1.
 	double allowanceShare(const ResendShare& _share, Millis _windowMs, Millis _now);
 
-	/// Draws the rounding when it is time: no gateway stays without a resend for good. Few gateways draw in the
-	/// same window, or more of them could spend in it than their shares add up to.
+	/// Renews the rounding offset when it is due, so that no gateway is left without resends for good. The
+	/// renewals are staggered: if many gateways renewed in one window, they could spend more in it than their
+	/// shares add up to.
 	void drawRounding(ResendShare& _share, Millis _windowMs, Random& _random, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/retry.h
+++ b/include/archdyke/retry.h
@@ -1,4 +1,4 @@
-/// What follows a try that brought no whole answer.
+/// Decides what follows an attempt that ended without a complete response.
 #pragma once
 
 #include <cstdint>
@@ -7,8 +7,8 @@
 
 namespace archdyke
 {
-	/// Retries that an entry may still spend: a share of its successes and a floor, see
-	/// "Retry budgets" in the Finagle manual and Google's SRE book, chapter 21.
+	/// Retry budget of an entry: a share of its successes plus a minimum rate, see "Retry
+	/// budgets" in the Finagle manual and Google's SRE book, chapter 21.
 	struct RetryBudget
 	{
 		double tokens = 0.0;
@@ -17,30 +17,30 @@
 		bool operator==(const RetryBudget&) const = default;
 	};
 
-	/// Adds what one success earns.
+	/// Credits the budget for one success.
 	void earnRetry(RetryBudget& _budget);
 
 	/// Takes one retry out of the budget.
-	/// @returns false when it is spent.
+	/// @returns false when the budget is exhausted.
 	bool spendRetry(RetryBudget& _budget, Millis _now);
 
-	/// What is proved of the try that ended.
+	/// What is proved about the execution of an attempt that ended.
 	enum class Proof
 	{
-		NotRun,  ///< The agent refused it or took it back, or its bytes never left.
+		NotRun,  ///< The agent refused or revoked it, or its bytes were never sent.
 		Ran,     ///< It started.
 		Unknown, ///< Neither is proved.
 		Count
 	};
 
-	/// A try that ended without a whole answer.
+	/// An attempt that ended without a complete response.
 	struct FailedTry
 	{
 		Proof proof = Proof::Unknown;
 		RefusalReason refusal = RefusalReason::None;
-		std::uint32_t attempt = 0; ///< 0 for the first.
+		std::uint32_t attempt = 0; ///< 0 for the first attempt.
 		bool repeatable = false;
-		bool delivered = false; ///< Bytes of it went to the caller.
+		bool delivered = false; ///< Bytes of the response were already sent to the caller.
 		Millis timeLeftMs = 0;  ///< Until the caller's deadline.
 
 		bool operator==(const FailedTry&) const = default;
@@ -48,18 +48,18 @@
 
 	enum class NextStep
 	{
-		Retry,         ///< Free of budget: the agent went away, no work was done.
-		RetryOnBudget, ///< Only if spendRetry allows it; else answer as if it were not allowed.
+		Retry,         ///< Outside the budget: the agent left and did no work.
+		RetryOnBudget, ///< If spendRetry allows it; else see finalAnswer.
 		AnswerNotRun,
 		AnswerUnknown,
-		AnswerBroken, ///< It ran; the answer can't be completed.
+		AnswerBroken, ///< It ran; the response can't be completed.
 		Count
 	};
 
-	/// Decides what follows. Never a second try of a request that may have run and may
-	/// not be repeated, nor after bytes went to the caller.
+	/// Decides the next step. Never retries a request that may have run and is not repeatable,
+	/// nor one of which response bytes were already sent to the caller.
 	NextStep decideNext(const FailedTry& _try);
 
-	/// @returns The final answer for a try that gets no retry.
+	/// @returns The final answer to the caller after an attempt that isn't retried.
 	NextStep finalAnswer(const FailedTry& _try);
 } // namespace archdyke
--- a/include/archdyke/retry_window.h
+++ b/include/archdyke/retry_window.h
@@ -1,6 +1,6 @@
-/// One retry budget over all gateways without a shared counter: each spends only a share of
-/// what it carried itself, plus its part of a fixed allowance, over a sliding window. The
-/// sum over the gateways then stays within the budget whatever number of them lives.
+/// Retry budget of all gateways without a shared counter: over a sliding window, each gateway may
+/// resend a share of its own first sends, plus its part of a fixed allowance. The sum over all
+/// gateways stays within the budget for any number of gateways.
 #pragma once
 
 #include <deque>
@@ -9,13 +9,13 @@
 
 namespace archdyke
 {
-	/// Bounds that all gateways keep together.
+	/// Retry limits that all gateways keep together.
 	struct RetryBounds
 	{
-		double ratio = 0.1;       ///< Resends for each first send.
-		double allowance = 0.0;   ///< Resends of this gateway beyond the ratio, a window.
+		double ratio = 0.1;       ///< Resends per first send.
+		double allowance = 0.0;   ///< Resends of this gateway per window beyond the ratio.
 		Millis windowMs = 10'000; ///< Length of the sliding window.
-		double rounding = 0.0;    ///< Part of a resend by which the sum of both is rounded up.
+		double rounding = 0.0;    ///< Fraction of a resend by which the limit is rounded up.
 
 		bool operator==(const RetryBounds&) const = default;
 	};
@@ -27,17 +27,17 @@
 		std::deque<Millis> resends;
 	};
 
-	/// Notes a request that went to an upstream for the first time; forgets those before the window.
+	/// Records the first send of a request and drops those older than the window.
 	void noteFirstSend(RetryWindow& _window, Millis _windowMs, Millis _now);
 
-	/// @returns Resends that the window still holds; negative when firsts have left it since.
+	/// @returns Resends left in the window; negative if first sends that earned them have expired.
 	double resendsLeft(RetryWindow& _window, const RetryBounds& _bounds, Millis _now);
 
-	/// @returns Whether the window holds so many that one may be spent on a request that still gets
-	/// its answer where it is: the rest is kept for those that failed.
+	/// @returns Whether a resend may be spent on a request that would still be answered where it is.
+	/// Half of the budget is reserved for requests that failed.
 	bool hasResendToSpare(RetryWindow& _window, const RetryBounds& _bounds, Millis _now);
 
 	/// Takes one resend out of the budget.
-	/// @returns false when the window holds no more.
+	/// @returns false when the budget is exhausted.
 	bool takeResend(RetryWindow& _window, const RetryBounds& _bounds, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/silence.h
+++ b/include/archdyke/silence.h
@@ -1,4 +1,4 @@
-/// Tells an upstream that has gone silent from one whose requests just take long.
+/// Distinguishes an upstream that stopped responding from one whose requests just take long.
 #pragma once
 
 #include <cstdint>
@@ -7,23 +7,23 @@
 
 namespace archdyke
 {
-	/// What was heard of an upstream, and of those that serve together with it.
+	/// Activity of an upstream and of the others in its group.
 	struct Hearing
 	{
-		std::uint32_t inFlight = 0; ///< Requests that wait for something from it.
-		Millis quietSince = 0;      ///< When something was last heard from it, or the first of these was sent.
-		Millis othersHeardAt = 0;   ///< When anything was last heard from any of its group.
-		double passMs = 0.0;        ///< Of its group now; 0 when unknown.
-		bool hasQueue = false;      ///< More requests are there than run at once: one that waits hears nothing.
+		std::uint32_t inFlight = 0; ///< Requests that wait for data from it.
+		Millis quietSince = 0;      ///< When it last sent data, or the first of these requests was sent, whichever is later.
+		Millis othersHeardAt = 0;   ///< When any upstream of its group last sent data.
+		double passMs = 0.0;        ///< Current pass time of its group; 0 when unknown.
+		bool hasQueue = false;      ///< It has more requests than it runs at once, so queued ones get no data.
 
 		bool operator==(const Hearing&) const = default;
 	};
 
-	/// @returns Whether it is silent while others answer. When a whole group is silent, its ranks
-	/// wait for each other and none is to blame.
+	/// @returns Whether it is silent while others of its group respond. When the whole group is silent,
+	/// its ranks wait for each other and the cause is unknown.
 	bool isSilent(const Hearing& _hearing, Millis _now);
 
-	/// @returns Whether a request may be taken away from a silent upstream.
-	/// @param[in] _waitedMs Since this request last heard anything, or was sent.
+	/// @returns Whether a request should be moved away from a silent upstream.
+	/// @param[in] _waitedMs Time since this request last got data, or was sent.
 	bool shouldLeaveSilent(const Hearing& _hearing, Millis _waitedMs, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/upstream_choice.h
+++ b/include/archdyke/upstream_choice.h
@@ -1,4 +1,4 @@
-/// Which upstream of a service gets a request, by what is known of each.
+/// Chooses the upstream of a service that gets a request, by load, health and zone.
 #pragma once
 
 #include <cstddef>
@@ -12,60 +12,60 @@
 
 namespace archdyke
 {
-	/// An upstream process as the list of upstreams names it.
+	/// An upstream process as registered in the list of upstreams.
 	struct UpstreamRecord
 	{
-		std::string incarnation; ///< Random name of one run of the process.
+		std::string incarnation; ///< Random ID of this run of the process.
 		std::string service;
 		std::string address; ///< IP:port.
 		std::string zone;
-		std::uint32_t slots = 1;         ///< Requests at once.
-		bool leaving = false;            ///< Takes no new work.
-		std::optional<Millis> coldForMs; ///< How much longer it was cold when it said so; none: it doesn't say.
-		Millis startedAt = 0;            ///< Unix time of its start, ms; 0: it doesn't say. A later one holds and knows nothing of before.
+		std::uint32_t slots = 1;         ///< Requests that it can process at once.
+		bool leaving = false;            ///< Accepts no new requests.
+		std::optional<Millis> coldForMs; ///< Remaining cold time when it registered, ms; none if it doesn't report one.
+		Millis startedAt = 0;            ///< Unix time of its start, ms; 0 if it doesn't report one. A process with a later start supersedes the earlier one and has none of its state.
 
 		bool operator==(const UpstreamRecord&) const = default;
 	};
 
-	/// An upstream that may be chosen.
+	/// An upstream to choose from.
 	struct UpstreamCandidate
 	{
-		double load = 0.0; ///< Requests there, running and waiting.
+		double load = 0.0; ///< Running and queued requests.
 		std::uint32_t slots = 1;
 		bool ownZone = false;
-		bool suspended = false;   ///< Failed lately; used only when all are.
-		bool excluded = false;    ///< This request was there already.
-		double failureRate = 0.0; ///< Share of its late answers that failed, 0 to 1.
-		double pace = 1.0;        ///< Time of its steps against the declared one; 1 when unknown.
+		bool suspended = false;   ///< Failed recently; used only if no healthy one is left.
+		bool excluded = false;    ///< This request was already sent there.
+		double failureRate = 0.0; ///< Share of its recent responses that failed, 0 to 1.
+		double pace = 1.0;        ///< Step time relative to the declared one; 1 when unknown.
 
 		bool operator==(const UpstreamCandidate&) const = default;
 	};
 
-	/// Chooses the less loaded of two upstreams drawn at random; the least loaded of all when
-	/// that one is full.
+	/// Chooses the less loaded of two random upstreams, or the least loaded of all if that one
+	/// is full.
 	/// @returns Index of the chosen one; none when all are excluded.
-	/// @remarks Loads are some 100 ms old and many gateways look at the same ones: if all took
-	/// the least loaded one, they would take the same. M. Mitzenmacher, "How Useful Is Old
+	/// @remarks Load reports are about 100 ms old and shared by many gateways: if each chose the
+	/// least loaded upstream, all would choose the same one. M. Mitzenmacher, "How Useful Is Old
 	/// Information?", IEEE TPDS 11(1), 2000.
 	std::optional<std::size_t> chooseUpstream(const std::vector<UpstreamCandidate>& _candidates, Random& _random);
 
-	/// Naive version, for comparison: always the least loaded one.
+	/// Baseline for comparison: always chooses the least loaded upstream.
 	/// @returns Index of the chosen one; none when all are excluded.
 	std::optional<std::size_t> chooseLeastLoaded(const std::vector<UpstreamCandidate>& _candidates);
 
-	/// What the last answers of an upstream say of its health.
+	/// Health of an upstream, derived from its recent responses.
 	struct UpstreamHealth
 	{
-		double failureRate = 0.0; ///< Moving mean of failed answers, 0 to 1.
+		double failureRate = 0.0; ///< Moving average of failed responses, 0 to 1.
 		std::uint32_t failuresInARow = 0;
 		Millis suspendedUntil = 0;
 
 		bool operator==(const UpstreamHealth&) const = default;
 	};
 
-	/// Takes in how a try ended there.
+	/// Records the result of an attempt at the upstream.
 	void noteTry(UpstreamHealth& _health, bool _failed, Millis _now);
 
-	/// @returns Whether only a request that has no other choice goes there.
+	/// @returns Whether the upstream is suspended: it gets a request only if no healthy one is left.
 	bool isSuspended(const UpstreamHealth& _health, Millis _now);
 } // namespace archdyke
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -7,15 +7,14 @@
 {
 	namespace
 	{
-		/// Weight of a new run time in the moving mean.
-		constexpr double kMeanShare = 0.1;
-		/// Smallest time to come back that a caller is told, ms.
-		constexpr Millis kLeastRetryAfterMs = 100;
-		constexpr Millis kLongestRetryAfterMs = 300'000;
-		/// Organisations whose last promise is remembered before old ones are forgotten.
-		constexpr std::size_t kReturnsKept = 1'024;
-
-		double sharePerWeight(const OrganisationQueue& _queue)
+		/// Weight of a new run time in the moving average.
+		constexpr double kMeanRunGain = 0.1;
+		constexpr Millis kMinRetryAfterMs = 100;
+		constexpr Millis kMaxRetryAfterMs = 300'000;
+		/// Organisations with a stored retry time from which past ones are erased.
+		constexpr std::size_t kMaxRetryTimes = 1'024;
+
+		double queuedPerWeight(const OrganisationQueue& _queue)
 		{
 			return _queue.runs.empty() ? 0.0 : double(_queue.runs.size()) / double(_queue.runs.back().weight);
 		}
@@ -35,26 +34,27 @@
 			return double(_admission.slots) / std::max(1.0, _admission.meanRunMs);
 		}
 
-		/// Time until the queue has drained to half, where a new run surely finds a place.
-		Millis drainMs(const Admission& _admission)
+		/// @returns Time until the queue has drained to half, when it surely accepts a new run, ms.
+		Millis halfDrainMs(const Admission& _admission)
 		{
 			const double runs = double(_admission.queued) / 2.0 + 1.0;
-			return std::max(kLeastRetryAfterMs, Millis(std::ceil(runs / runsPerMs(_admission))));
+			return std::max(kMinRetryAfterMs, Millis(std::ceil(runs / runsPerMs(_admission))));
 		}
 
-		/// @returns When a refused caller should come back, ms from now.
-		Millis promiseReturn(Admission& _admission, const std::string& _organisation, std::uint32_t _weight, Millis _now)
+		/// Reserves the next retry time of an organisation for a refused caller.
+		/// @returns Its retry delay, ms.
+		Millis reserveRetryAfterMs(Admission& _admission, const std::string& _organisation, std::uint32_t _weight, Millis _now)
 		{
-			const bool waits = _admission.organisations.contains(_organisation) && !_admission.organisations[_organisation].runs.empty();
-			const double share = double(_weight) / (totalWeight(_admission) + (waits ? 0.0 : double(_weight)));
+			const bool hasQueuedRuns = _admission.organisations.contains(_organisation) && !_admission.organisations[_organisation].runs.empty();
+			const double share = double(_weight) / (totalWeight(_admission) + (hasQueuedRuns ? 0.0 : double(_weight)));
 			double& last = _admission.returns[_organisation];
-			last = std::max(double(_now + drainMs(_admission)), last + 1.0 / (runsPerMs(_admission) * share));
-			last = std::min(last, double(_now + kLongestRetryAfterMs));
+			last = std::max(double(_now + halfDrainMs(_admission)), last + 1.0 / (runsPerMs(_admission) * share));
+			last = std::min(last, double(_now + kMaxRetryAfterMs));
 			const Millis result = Millis(last) - _now;
-			if (kReturnsKept < _admission.returns.size())
+			if (kMaxRetryTimes < _admission.returns.size())
 			{
-				absl::erase_if(_admission.returns, [&](const auto& _return) {
-					return _return.second < double(_now);
+				absl::erase_if(_admission.returns, [&](const auto& _retryTime) {
+					return _retryTime.second < double(_now);
 				});
 			}
 			return result;
@@ -62,10 +62,10 @@
 
 		AdmitResult refuse(Admission& _admission, const QueuedRun& _run, RefusalReason _reason, Millis _now)
 		{
-			return {_reason, promiseReturn(_admission, _run.organisation, _run.weight, _now), std::nullopt};
+			return {_reason, reserveRetryAfterMs(_admission, _run.organisation, _run.weight, _now), std::nullopt};
 		}
 
-		void dropIfIdle(Admission& _admission, const std::string& _organisation)
+		void removeIfIdle(Admission& _admission, const std::string& _organisation)
 		{
 			const auto it = _admission.organisations.find(_organisation);
 			if (_admission.organisations.end() != it && it->second.runs.empty() && it->second.finishTag <= _admission.virtualTime)
@@ -74,16 +74,16 @@
 			}
 		}
 
-		std::string largestHolder(const Admission& _admission)
+		std::string largestOrganisation(const Admission& _admission)
 		{
 			const auto it = std::max_element(_admission.organisations.begin(), _admission.organisations.end(), [](const auto& _a, const auto& _b) {
-				return sharePerWeight(_a.second) < sharePerWeight(_b.second);
+				return queuedPerWeight(_a.second) < queuedPerWeight(_b.second);
 			});
 			return it->first;
 		}
 
-		/// @returns Runs that leave the queue because they can't end by their deadline.
-		std::vector<RunKey> takeExpired(Admission& _admission, Millis _now)
+		/// Removes the runs that can't finish by their deadline.
+		std::vector<RunKey> removeExpired(Admission& _admission, Millis _now)
 		{
 			std::vector<RunKey> expired;
 			for (auto& [name, queue] : _admission.organisations)
@@ -124,17 +124,17 @@
 		AdmitResult result;
 		if (_admission.capacity <= _admission.queued)
 		{
-			const std::string holder = largestHolder(_admission);
-			OrganisationQueue& largest = _admission.organisations[holder];
+			const std::string largestName = largestOrganisation(_admission);
+			OrganisationQueue& largest = _admission.organisations[largestName];
 			const auto own = _admission.organisations.find(_run.organisation);
 			const double ownRuns = _admission.organisations.end() == own ? 0.0 : double(own->second.runs.size());
-			if ((ownRuns + 1.0) / double(_run.weight) >= sharePerWeight(largest))
+			if ((ownRuns + 1.0) / double(_run.weight) >= queuedPerWeight(largest))
 			{
 				return refuse(_admission, _run, RefusalReason::Overloaded, _now);
 			}
 			const QueuedRun& last = largest.runs.back();
 			result.evicted = last.key;
-			result.retryAfterMs = promiseReturn(_admission, last.organisation, last.weight, _now);
+			result.retryAfterMs = reserveRetryAfterMs(_admission, last.organisation, last.weight, _now);
 			largest.runs.pop_back();
 			_admission.queued -= 1;
 		}
@@ -146,7 +146,7 @@
 	TakeResult takeRun(Admission& _admission, Millis _now)
 	{
 		TakeResult result;
-		result.expired = takeExpired(_admission, _now);
+		result.expired = removeExpired(_admission, _now);
 		if (_admission.slots <= _admission.running || 0 == _admission.queued)
 		{
 			return result;
@@ -168,7 +168,7 @@
 		_admission.virtualTime = bestTag;
 		_admission.queued -= 1;
 		_admission.running += 1;
-		dropIfIdle(_admission, result.next->organisation);
+		removeIfIdle(_admission, result.next->organisation);
 		return result;
 	}
 
@@ -185,6 +185,6 @@
 	void endRun(Admission& _admission, Millis _runMs)
 	{
 		_admission.running -= 1;
-		_admission.meanRunMs += kMeanShare * (double(_runMs) - _admission.meanRunMs);
+		_admission.meanRunMs += kMeanRunGain * (double(_runMs) - _admission.meanRunMs);
 	}
 } // namespace archdyke
--- a/src/decide/back_off.cpp
+++ b/src/decide/back_off.cpp
@@ -10,11 +10,11 @@
 {
 	namespace
 	{
-		/// Longest time that is told apart, s: a year, so that it stays a number of ms.
-		constexpr double kMostSeconds = 31'536'000.0;
-		/// Longest time that is kept to, ms: one that asks for more is asked again each ten minutes, so that a
-		/// slip in a header doesn't take an upstream away for good.
-		constexpr Millis kLongestMs = 600'000;
+		/// A year; larger values are clamped so that they don't overflow as ms.
+		constexpr double kMaxParsedSeconds = 31'536'000.0;
+		/// Longest back-off that is honoured: an upstream that requests more is tried again every ten minutes, so
+		/// that a wrong header doesn't exclude it for good.
+		constexpr Millis kMaxBackOffMs = 600'000;
 	} // namespace
 
 	std::optional<Millis> parseBackOff(std::string_view _seconds)
@@ -24,14 +24,14 @@
 		{
 			return std::nullopt;
 		}
-		return Millis(std::ceil(std::min(seconds, kMostSeconds) * 1'000.0));
+		return Millis(std::ceil(std::min(seconds, kMaxParsedSeconds) * 1'000.0));
 	}
 
 	bool noteBackOff(BackOff& _backOff, Millis _askedMs, Millis _now)
 	{
-		const bool begins = _backOff.until <= _now;
-		_backOff.until = std::max(_backOff.until, _now + std::clamp<Millis>(_askedMs, 0, kLongestMs));
-		return begins;
+		const bool isNew = _backOff.until <= _now;
+		_backOff.until = std::max(_backOff.until, _now + std::clamp<Millis>(_askedMs, 0, kMaxBackOffMs));
+		return isNew;
 	}
 
 	Millis backOffLeftMs(const BackOff& _backOff, Millis _now)
--- a/src/decide/batch_admission.cpp
+++ b/src/decide/batch_admission.cpp
@@ -6,33 +6,32 @@
 {
 	namespace
 	{
-		/// Share of the objective that a mean pass may take: passes in which prompts are read
-		/// are longer than the mean.
+		/// Mean pass time allowed, relative to the objective. Passes with prefill are longer than the mean.
 		constexpr double kPassShare = 1.1;
-		/// Requests that may wait at an engine beyond its batch: one ends about every fifth pass.
+		/// Requests that may queue at an engine beyond its batch: a slot is freed about every fifth pass.
 		constexpr double kQueueBeyondBatch = 1.0;
-		/// More for a caller that was refused before: to refuse it again costs its answer.
+		/// Extra requests per engine for returning callers: one that is refused again is usually lost.
 		constexpr double kMoreForReturning = 2.0;
-		/// Least limit: a group so slow that not even this fits is measured wrongly, or stands.
-		constexpr double kLeastLimit = 2.0;
-		/// Share of the objective that a request may wait for room: a caller that can't be served hears
-		/// it after 60 ms of 500. Longer waits served nobody more.
+		/// Minimum limit, requests: a group that seems too slow for even this is stalled or measured wrongly.
+		constexpr double kMinLimit = 2.0;
+		/// Share of the objective that a request may wait for capacity: with an objective of 500 ms a
+		/// caller is refused after 60 ms. Longer waits did not serve more callers.
 		constexpr double kWaitShare = 0.12;
 	} // namespace
 
 	double batchLimit(const EngineModel& _model, const BatchView& _view, Millis _gapObjectiveMs)
 	{
 		const double slots = double(_model.slots) + kQueueBeyondBatch;
-		const double modelled = double(_model.stride) * (_model.stepMs + _model.perSequenceMs * _view.meanLoad);
-		if (_view.passMs <= 0.0 || _gapObjectiveMs <= 0 || modelled <= 0.0 || _model.perSequenceMs <= 0.0)
+		const double modelledPassMs = double(_model.stride) * (_model.stepMs + _model.perSequenceMs * _view.meanLoad);
+		if (_view.passMs <= 0.0 || _gapObjectiveMs <= 0 || modelledPassMs <= 0.0 || _model.perSequenceMs <= 0.0)
 		{
 			return slots;
 		}
-		// How much longer passes take than the engine alone would: skew, reading, slow ranks.
-		const double stretch = std::max(1.0, _view.passMs / modelled);
-		const double step = kPassShare * double(_gapObjectiveMs) / (stretch * double(_model.stride));
-		const double fitting = (step - _model.stepMs) / _model.perSequenceMs;
-		return std::clamp(fitting, kLeastLimit, slots);
+		// Slowdown of passes relative to the engine model, due to skew, prefill and slow ranks.
+		const double slowdown = std::max(1.0, _view.passMs / modelledPassMs);
+		const double maxStepMs = kPassShare * double(_gapObjectiveMs) / (slowdown * double(_model.stride));
+		const double fittingRequests = (maxStepMs - _model.stepMs) / _model.perSequenceMs;
+		return std::clamp(fittingRequests, kMinLimit, slots);
 	}
 
 	bool mayEnter(const EngineModel& _model, const BatchView& _view, const BatchRequest& _request)
--- a/src/decide/cold_share.cpp
+++ b/src/decide/cold_share.cpp
@@ -9,54 +9,55 @@
 {
 	namespace
 	{
-		/// Length of a window, ms: a second, in which an upstream's arrivals are counted, and the longest
-		/// wait for a connection, by which a send may leave later than the one after it.
+		/// Length of a window: the second in which an upstream's arrivals are counted, plus the maximum
+		/// connect time, by which a send may arrive later than the next one.
 		constexpr Millis kWindowMs = 1'400;
-		/// Logarithm of the chance that more gateways have a further send to an upstream than it survives:
-		/// one in a million, so that a hundred restarts a day break it once in decades.
-		constexpr double kLogOfChance = -13.8;
-		/// Halvings in the search for a share: one in a million of a gateway.
-		constexpr int kHalvings = 20;
+		/// Logarithm of the accepted probability that more gateways get an extra send to an upstream than
+		/// it survives: one in a million, which with a hundred restarts a day occurs once in decades.
+		constexpr double kLogMaxExcessProbability = -13.8;
+		/// Steps of the bisection for a probability: a precision of one in a million.
+		constexpr int kBisectionSteps = 20;
 
-		/// A number of gateways must have been told for this long without growth, ms: after a restart of all,
-		/// coordinators hear of them one by one, and one that goes by half their number sends twice its share.
-		constexpr Millis kSteadyMs = 1'500;
-		/// Gateways that are assumed for each upstream while nobody tells: one serves several upstreams, so
-		/// nobody pays for as many.
+		/// How long the reported gateway count must not have grown before it is used: after a restart of all
+		/// gateways, coordinators discover them one by one, and a gateway that uses half the count sends
+		/// twice its share.
+		constexpr Millis kMinSteadyMs = 1'500;
+		/// Assumed gateways per upstream while no count is reported: higher than in any deployment, since one
+		/// gateway serves several upstreams.
 		constexpr std::uint32_t kGatewaysPerUpstream = 2;
-		/// The least that are assumed: of few upstreams one can't tell.
-		constexpr std::uint32_t kLeastGateways = 128;
+		/// Minimum of the estimate: a few upstreams say little about the number of gateways.
+		constexpr std::uint32_t kMinGateways = 128;
 
-		/// @returns Bound on the logarithm of the chance that more than _most of _count gateways are drawn
-		/// when each is with _chance. H. Chernoff, Ann. Math. Statist. 23(4), 1952.
-		double logOfExcess(double _count, double _chance, double _most)
+		/// @returns Upper bound of the logarithm of the probability that more than _max of _count gateways
+		/// are selected, each with probability _probability. H. Chernoff, Ann. Math. Statist. 23(4), 1952.
+		double logExcessProbability(double _count, double _probability, double _max)
 		{
-			const double part = (_most + 1.0) / _count;
-			if (1.0 < part || _chance <= 0.0)
+			const double fraction = (_max + 1.0) / _count;
+			if (1.0 < fraction || _probability <= 0.0)
 			{
 				return -HUGE_VAL;
 			}
-			if (part <= _chance)
+			if (fraction <= _probability)
 			{
 				return 0.0;
 			}
-			const double others = 1.0 == part ? 0.0 : (1.0 - part) * std::log((1.0 - part) / (1.0 - _chance));
-			return -_count * (part * std::log(part / _chance) + others);
+			const double complement = 1.0 == fraction ? 0.0 : (1.0 - fraction) * std::log((1.0 - fraction) / (1.0 - _probability));
+			return -_count * (fraction * std::log(fraction / _probability) + complement);
 		}
 
-		/// @returns The largest chance up to the wanted one that keeps the excess as rare as it must be.
-		double rareEnough(double _count, double _wanted, double _most)
+		/// @returns The largest probability up to _wanted with which the excess stays within kLogMaxExcessProbability.
+		double limitProbability(double _count, double _wanted, double _max)
 		{
-			if (logOfExcess(_count, _wanted, _most) <= kLogOfChance)
+			if (logExcessProbability(_count, _wanted, _max) <= kLogMaxExcessProbability)
 			{
 				return _wanted;
 			}
 			double low = 0.0;
 			double high = _wanted;
-			for (int halving = 0; halving < kHalvings; ++halving)
+			for (int step = 0; step < kBisectionSteps; ++step)
 			{
 				const double middle = (low + high) / 2.0;
-				(logOfExcess(_count, middle, _most) <= kLogOfChance ? low : high) = middle;
+				(logExcessProbability(_count, middle, _max) <= kLogMaxExcessProbability ? low : high) = middle;
 			}
 			return low;
 		}
@@ -64,29 +65,29 @@
 
 	std::uint32_t gatewaysAssumed(const ResendShare& _told, std::size_t _upstreams, Millis _windowMs, Millis _now)
 	{
-		const std::optional<std::uint32_t> steady = gatewaysTold(_told, _windowMs, kSteadyMs, _now);
+		const std::optional<std::uint32_t> steady = gatewaysTold(_told, _windowMs, kMinSteadyMs, _now);
 		if (steady)
 		{
 			return *steady;
 		}
-		const std::uint32_t likely = std::clamp(kGatewaysPerUpstream * std::uint32_t(_upstreams), kLeastGateways, kMostGateways);
-		return std::max(likely, gatewaysTold(_told, _windowMs, 0, _now).value_or(0));
+		const std::uint32_t estimated = std::clamp(kGatewaysPerUpstream * std::uint32_t(_upstreams), kMinGateways, kMostGateways);
+		return std::max(estimated, gatewaysTold(_told, _windowMs, 0, _now).value_or(0));
 	}
 
 	ColdShare coldShareOf(const ColdTerms& _terms)
 	{
 		const double count = std::max<double>(1.0, _terms.gateways);
-		const double most = std::floor(_terms.mostPerS);
-		const double wanted = std::min(most, _terms.bornePerS * double(kWindowMs) / 1'000.0) / count;
-		const double each = std::floor(wanted);
-		return {std::uint32_t(each), rareEnough(count, wanted - each, most - count * each)};
+		const double peak = std::floor(_terms.mostPerS);
+		const double wanted = std::min(peak, _terms.bornePerS * double(kWindowMs) / 1'000.0) / count;
+		const double fixedSends = std::floor(wanted);
+		return {std::uint32_t(fixedSends), limitProbability(count, wanted - fixedSends, peak - count * fixedSends)};
 	}
 
 	std::uint32_t sendsInWindow(const ColdShare& _share, std::string_view _gateway, std::string_view _incarnation)
 	{
 		const std::uint64_t hash = stableHash(_incarnation, stableHash(_gateway));
-		const double drawn = std::ldexp(double(hash), -64);
-		return _share.sends + (drawn < _share.chanceOfMore ? 1 : 0);
+		const double uniform = std::ldexp(double(hash), -64);
+		return _share.sends + (uniform < _share.chanceOfMore ? 1 : 0);
 	}
 
 	void noteCold(ColdState& _state, Millis _forMs, Millis _now)
--- a/src/decide/come_back.cpp
+++ b/src/decide/come_back.cpp
@@ -6,38 +6,37 @@
 {
 	namespace
 	{
-		/// Callers honour a time to come back of up to one part in so many of what they have left;
-		/// beyond it they come when they like.
-		constexpr Millis kHonouredShare = 3;
-		/// Least time to come back, ms.
-		constexpr Millis kLeastMs = 50;
+		/// Callers honour a retry delay of up to this fraction (1/n) of their remaining time; a longer
+		/// delay is ignored.
+		constexpr Millis kHonouredDivisor = 3;
+		constexpr Millis kMinDelayMs = 50;
 
-		struct Span
+		struct DelayRange
 		{
 			Millis from;
 			Millis to;
 		};
 
-		/// Usual time until a cause is over, ms.
-		Span usualSpan(RefusalCause _cause)
+		/// @returns Range of the time after which a cause is usually over, ms.
+		DelayRange usualDelay(RefusalCause _cause)
 		{
 			switch (_cause)
 			{
 			case RefusalCause::NoConfiguration:
-				return {200, 600};         // a first read of the store takes some 10 ms, 300 when slow
-			case RefusalCause::StaleProof: // the caller's repeat reaches another gateway
+				return {200, 600};         // the first read of the store takes about 10 ms, 300 ms when slow
+			case RefusalCause::StaleProof: // the retry reaches another gateway
 			case RefusalCause::NoUpstream:
 				return {500, 1'500};
-			case RefusalCause::ColdUpstreams: // each second brings what they bear anew
-			case RefusalCause::Evacuated:     // callers' repeats find upstreams of another zone that are back
+			case RefusalCause::ColdUpstreams: // their limit is renewed every second
+			case RefusalCause::Evacuated:     // the retry finds recovered upstreams in another zone
 			case RefusalCause::Overloaded:
-				return {700, 2'000}; // a stream of usual length ends in 1 to 3 s
+				return {700, 2'000}; // a stream of usual length ends within 1 to 3 s
 			case RefusalCause::BackOff:
-				return {500, 1'000}; // from the end of the first one's time; then it takes all that come
+				return {500, 1'000}; // after the first back-off ends, that upstream accepts all requests
 			case RefusalCause::GroupDown:
-				return {2'000, 2'600}; // stall and forming take some 2 s, a crash or a cut of a zone 4 to 6
+				return {2'000, 2'600}; // stall and forming take about 2 s, a crash or zone partition 4 to 6 s
 			default:
-				return {20, 100}; // another gateway takes it at once
+				return {20, 100}; // another gateway accepts it at once
 			}
 		}
 	} // namespace
@@ -73,16 +72,16 @@
 	{
 		if (RefusalCause::CrashesUpstreams == _cause && _reopenMs)
 		{
-			return std::max(kLeastMs, *_reopenMs); // beyond its patience: to come back before is in vain
+			return std::max(kMinDelayMs, *_reopenMs); // not limited by the caller's remaining time: an earlier retry would be refused again
 		}
-		Span span = usualSpan(_cause);
+		DelayRange range = usualDelay(_cause);
 		if (_reopenMs)
 		{
-			// Cold upstreams take some before they are warm; of a group that is down nothing.
-			const Millis from = RefusalCause::ColdUpstreams == _cause ? std::min(span.from, *_reopenMs) : *_reopenMs;
-			span = {from, from + (span.to - span.from)};
+			// Cold upstreams accept some requests before they are warm; a group that is down accepts none.
+			const Millis from = RefusalCause::ColdUpstreams == _cause ? std::min(range.from, *_reopenMs) : *_reopenMs;
+			range = {from, from + (range.to - range.from)};
 		}
-		const Millis drawn = span.from + Millis(randomBelow(_random, std::uint64_t(span.to - span.from + 1)));
-		return std::max(kLeastMs, std::min(drawn, _patienceMs / kHonouredShare));
+		const Millis delay = range.from + Millis(randomBelow(_random, std::uint64_t(range.to - range.from + 1)));
+		return std::max(kMinDelayMs, std::min(delay, _patienceMs / kHonouredDivisor));
 	}
 } // namespace archdyke
--- a/src/decide/crash_blame.cpp
+++ b/src/decide/crash_blame.cpp
@@ -7,7 +7,7 @@
 {
 	namespace
 	{
-		bool counts(Millis _at, Millis _now)
+		bool isCurrent(Millis _at, Millis _now)
 		{
 			return _now < _at + kBlameMs;
 		}
@@ -62,7 +62,7 @@
 			return 0;
 		}
 		return std::size_t(std::count_if(found->second.begin(), found->second.end(), [_now](const auto& _crash) {
-			return counts(_crash.second, _now);
+			return isCurrent(_crash.second, _now);
 		}));
 	}
 
@@ -78,11 +78,11 @@
 		{
 			times.push_back(at);
 		}
-		// The newest ones decide: it may run again once fewer than that many count.
-		const auto last = times.begin() + (kCrashesToRefuse - 1);
-		std::nth_element(times.begin(), last, times.end(), std::greater<>());
-		const Millis left = *last + kBlameMs - _now;
-		return 0 < left ? std::optional(left) : std::nullopt;
+		// The kCrashesToRefuse newest crashes decide: the request may run again once one of them expires.
+		const auto oldestDeciding = times.begin() + (kCrashesToRefuse - 1);
+		std::nth_element(times.begin(), oldestDeciding, times.end(), std::greater<>());
+		const Millis remainingMs = *oldestDeciding + kBlameMs - _now;
+		return 0 < remainingMs ? std::optional(remainingMs) : std::nullopt;
 	}
 
 	std::vector<Crash> forgetCrashes(CrashTable& _table, Millis _now)
@@ -92,7 +92,7 @@
 		{
 			for (const auto& [incarnation, at] : crashes)
 			{
-				if (!counts(at, _now))
+				if (!isCurrent(at, _now))
 				{
 					forgotten.push_back({request, incarnation});
 				}
@@ -109,8 +109,8 @@
 	{
 		if (kGenerationMs <= _now - _runs.newerSince)
 		{
-			const bool adjacent = _now - _runs.newerSince < 2 * kGenerationMs;
-			_runs.older = adjacent ? std::move(_runs.newer) : absl::flat_hash_set<std::size_t>();
+			const bool isNextGeneration = _now - _runs.newerSince < 2 * kGenerationMs;
+			_runs.older = isNextGeneration ? std::move(_runs.newer) : absl::flat_hash_set<std::size_t>();
 			_runs.newer.clear();
 			_runs.newerSince = _now;
 		}
--- a/src/decide/evacuation.cpp
+++ b/src/decide/evacuation.cpp
@@ -7,7 +7,7 @@
 {
 	namespace
 	{
-		void takeRow(OperatorTable& _table, const EvacuationRow& _row, std::vector<ZoneChange>& _changes)
+		void applyRow(OperatorTable& _table, const EvacuationRow& _row, std::vector<ZoneChange>& _changes)
 		{
 			ZoneEvacuation& known = _table.zones[_row.zone];
 			if (_row.version <= known.version)
@@ -22,8 +22,8 @@
 			}
 		}
 
-		/// Zones in force that a whole read doesn't name were taken back at some version up to its own.
-		void takeBackUnnamed(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, std::vector<ZoneChange>& _changes)
+		/// Ends the evacuation of zones without a row in a full read: it ended at or before that version.
+		void endUnnamedEvacuations(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, std::vector<ZoneChange>& _changes)
 		{
 			std::set<std::string> named;
 			for (const EvacuationRow& row : _rows)
@@ -47,11 +47,11 @@
 		std::vector<ZoneChange> changes;
 		for (const EvacuationRow& row : _rows)
 		{
-			takeRow(_table, row, changes);
+			applyRow(_table, row, changes);
 		}
 		if (_whole)
 		{
-			takeBackUnnamed(_table, _rows, _version, changes);
+			endUnnamedEvacuations(_table, _rows, _version, changes);
 		}
 		_table.knownUpTo = std::max(_table.knownUpTo, _version);
 		return changes;
--- a/src/decide/freshness.cpp
+++ b/src/decide/freshness.cpp
@@ -6,19 +6,19 @@
 {
 	void noteClock(Freshness& _freshness, Millis _sentAt, Millis _storeTime)
 	{
-		const Millis seen = _sentAt - _storeTime;
-		_freshness.offset = std::max(_freshness.offset.value_or(seen), seen);
+		const Millis minOffset = _sentAt - _storeTime;
+		_freshness.offset = std::max(_freshness.offset.value_or(minOffset), minOffset);
 	}
 
 	void noteProof(Freshness& _freshness, Millis _sentAt, std::optional<Millis> _storeTime)
 	{
-		Millis made = _sentAt;
+		Millis madeAt = _sentAt;
 		if (_storeTime)
 		{
 			noteClock(_freshness, _sentAt, *_storeTime);
-			made = *_storeTime + *_freshness.offset;
+			madeAt = *_storeTime + *_freshness.offset;
 		}
-		_freshness.provenAt = std::max(_freshness.provenAt.value_or(made), made);
+		_freshness.provenAt = std::max(_freshness.provenAt.value_or(madeAt), madeAt);
 	}
 
 	std::optional<Millis> ownTimeOf(const Freshness& _freshness, Millis _storeTime)
@@ -28,10 +28,10 @@
 
 	void noteToldProof(Freshness& _freshness, Millis _storeTime)
 	{
-		const std::optional<Millis> made = ownTimeOf(_freshness, _storeTime);
-		if (made)
+		const std::optional<Millis> madeAt = ownTimeOf(_freshness, _storeTime);
+		if (madeAt)
 		{
-			_freshness.provenAt = std::max(_freshness.provenAt.value_or(*made), *made);
+			_freshness.provenAt = std::max(_freshness.provenAt.value_or(*madeAt), *madeAt);
 		}
 	}
 
--- a/src/decide/group_choice.cpp
+++ b/src/decide/group_choice.cpp
@@ -8,19 +8,20 @@
 {
 	namespace
 	{
-		/// How much fuller the own zone's groups may be than the emptiest one before a request
-		/// leaves its zone: its answer's bytes between zones are paid for, and each way is longer.
+		/// Extra utilization accepted to stay in the own zone: traffic between zones is billed and
+		/// has a higher latency.
 		constexpr double kZoneAdvantage = 0.25;
-		/// Least room that counts in the draw: a group with room for a part of a request has some.
-		constexpr double kLeastRoom = 0.1;
+		/// Minimum weight in the random choice, requests: a group that has capacity for a fraction
+		/// of a request is still eligible.
+		constexpr double kMinWeight = 0.1;
 
 		bool isUsable(const GroupCandidate& _candidate)
 		{
 			return _candidate.hasRoom && GroupStanding::Down != _candidate.standing;
 		}
 
-		/// The less the better: groups that failed the request only when there are no others, then
-		/// the ones in time. Of late and unknown ones neither is known to be better.
+		/// Lower is better: groups that didn't fail the request come first, then groups in time.
+		/// Late and unknown groups are equivalent, since neither is known to be better.
 		std::tuple<bool, bool> tierOf(const GroupCandidate& _candidate)
 		{
 			return {_candidate.failedRequest, GroupStanding::InTime != _candidate.standing};
@@ -48,7 +49,7 @@
 			return best;
 		}
 
-		std::size_t emptiestOf(const std::vector<GroupCandidate>& _candidates, const std::vector<std::size_t>& _among)
+		std::size_t leastUtilized(const std::vector<GroupCandidate>& _candidates, const std::vector<std::size_t>& _among)
 		{
 			return *std::min_element(_among.begin(), _among.end(), [&](std::size_t _a, std::size_t _b) {
 				return _candidates[_a].fullness < _candidates[_b].fullness;
@@ -57,22 +58,22 @@
 
 		double weightOf(const GroupCandidate& _candidate)
 		{
-			return std::max(kLeastRoom, _candidate.room);
+			return std::max(kMinWeight, _candidate.room);
 		}
 
-		std::size_t drawByRoom(const std::vector<GroupCandidate>& _candidates, const std::vector<std::size_t>& _among, Random& _random)
+		std::size_t pickByFreeCapacity(const std::vector<GroupCandidate>& _candidates, const std::vector<std::size_t>& _among, Random& _random)
 		{
-			constexpr std::uint64_t kDraws = 1'000'000;
+			constexpr std::uint64_t kRandomSteps = 1'000'000;
 			double total = 0.0;
 			for (const std::size_t index : _among)
 			{
 				total += weightOf(_candidates[index]);
 			}
-			double left = total * double(randomBelow(_random, kDraws)) / double(kDraws);
+			double remaining = total * double(randomBelow(_random, kRandomSteps)) / double(kRandomSteps);
 			for (const std::size_t index : _among)
 			{
-				left -= weightOf(_candidates[index]);
-				if (left < 0.0)
+				remaining -= weightOf(_candidates[index]);
+				if (remaining < 0.0)
 				{
 					return index;
 				}
@@ -103,21 +104,21 @@
 		{
 			return std::nullopt;
 		}
-		const double near = _candidates[emptiestOf(_candidates, best)].fullness + kZoneAdvantage;
+		const double maxLocalFullness = _candidates[leastUtilized(_candidates, best)].fullness + kZoneAdvantage;
 		std::vector<std::size_t> local;
 		for (const std::size_t index : best)
 		{
-			if (0.0 < _candidates[index].ownZoneShare && _candidates[index].fullness <= near)
+			if (0.0 < _candidates[index].ownZoneShare && _candidates[index].fullness <= maxLocalFullness)
 			{
 				local.push_back(index);
 			}
 		}
-		return drawByRoom(_candidates, local.empty() ? best : local, _random);
+		return pickByFreeCapacity(_candidates, local.empty() ? best : local, _random);
 	}
 
 	std::optional<std::size_t> chooseEmptiestGroup(const std::vector<GroupCandidate>& _candidates)
 	{
 		const std::vector<std::size_t> best = bestTier(_candidates);
-		return best.empty() ? std::nullopt : std::optional(emptiestOf(_candidates, best));
+		return best.empty() ? std::nullopt : std::optional(leastUtilized(_candidates, best));
 	}
 } // namespace archdyke
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -44,13 +44,13 @@
 		{
 			return finalAnswer(_try);
 		}
-		// A deadline that this agent can't meet isn't met by asking all the others: each
-		// would do the sum again, and the caller waits meanwhile.
+		// Trying all other agents would not meet the deadline: each computes the same estimate again
+		// while the caller waits.
 		if (RefusalReason::Deadline == _try.refusal && 0 < _try.attempt)
 		{
 			return finalAnswer(_try);
 		}
-		const bool agentWent = RefusalReason::Leaving == _try.refusal || RefusalReason::WrongIncarnation == _try.refusal;
-		return agentWent ? NextStep::Retry : NextStep::RetryOnBudget;
+		const bool agentLeft = RefusalReason::Leaving == _try.refusal || RefusalReason::WrongIncarnation == _try.refusal;
+		return agentLeft ? NextStep::Retry : NextStep::RetryOnBudget;
 	}
 } // namespace archdyke
--- a/src/decide/route.cpp
+++ b/src/decide/route.cpp
@@ -8,9 +8,9 @@
 {
 	namespace
 	{
-		/// Load that the holder of a prefix may have above the best other choice, runs per
-		/// slot.
-		constexpr double kAffinityExtraLoad = 0.25;
+		/// How much more loaded than the best other candidate the agent with the cached prefix may
+		/// be, runs per slot.
+		constexpr double kMaxAffinityExtraLoad = 0.25;
 
 		enum class ZoneFilter
 		{
@@ -23,7 +23,7 @@
 			return _candidate.usable && (ZoneFilter::Own == _filter) == _candidate.ownZone;
 		}
 
-		/// Walks from a random place to the next usable candidate: no list is built.
+		/// Scans from a random index to the next usable candidate, without building a list.
 		std::optional<std::size_t> pickRandom(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
 		{
 			const std::size_t start = randomBelow(_random, _candidates.size());
@@ -38,8 +38,8 @@
 			return std::nullopt;
 		}
 
-		/// The second choice is another candidate than the first, if there is one.
-		std::optional<std::size_t> pickOfTwo(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
+		/// @returns The less loaded of two random candidates, which differ if there is more than one.
+		std::optional<std::size_t> pickBetterOfTwo(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
 		{
 			const std::optional<std::size_t> first = pickRandom(_candidates, _filter, _random);
 			if (!first)
@@ -62,7 +62,7 @@
 		}
 
 		/// Rendezvous hashing: D. G. Thaler, C. V. Ravishankar, IEEE/ACM ToN 6(1), 1998.
-		std::optional<std::size_t> prefixHolder(const std::vector<Candidate>& _candidates, std::uint64_t _prefix)
+		std::optional<std::size_t> findPrefixHolder(const std::vector<Candidate>& _candidates, std::uint64_t _prefix)
 		{
 			std::optional<std::size_t> holder;
 			std::uint64_t highest = 0;
@@ -104,11 +104,11 @@
 
 	std::optional<std::size_t> chooseAgent(const std::vector<Candidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random)
 	{
-		std::optional<std::size_t> best = pickOfTwo(_candidates, ZoneFilter::Own, _random);
+		std::optional<std::size_t> best = pickBetterOfTwo(_candidates, ZoneFilter::Own, _random);
 		if (best && _prefix)
 		{
-			const std::size_t holder = *prefixHolder(_candidates, *_prefix);
-			if (loadOf(_candidates[holder]) <= loadOf(_candidates[*best]) + kAffinityExtraLoad)
+			const std::size_t holder = *findPrefixHolder(_candidates, *_prefix);
+			if (loadOf(_candidates[holder]) <= loadOf(_candidates[*best]) + kMaxAffinityExtraLoad)
 			{
 				best = holder;
 			}
@@ -117,10 +117,10 @@
 		{
 			return best;
 		}
-		const std::optional<std::size_t> far = pickOfTwo(_candidates, ZoneFilter::Other, _random);
-		if (!best || (far && costMs(_candidates[*far]) < costMs(_candidates[*best])))
+		const std::optional<std::size_t> remote = pickBetterOfTwo(_candidates, ZoneFilter::Other, _random);
+		if (!best || (remote && costMs(_candidates[*remote]) < costMs(_candidates[*best])))
 		{
-			return far;
+			return remote;
 		}
 		return best;
 	}
@@ -181,13 +181,13 @@
 			return order;
 		}
 		std::vector<std::size_t> subset;
-		for (std::size_t slot = 0; slot < order.size(); ++slot)
+		for (std::size_t agent = 0; agent < order.size(); ++agent)
 		{
-			// Agent slot k is covered by the entries that follow place k * count / agents.
-			const std::size_t first = slot * count / order.size();
+			// Agent number k is covered by the entries from position k * count / agents on.
+			const std::size_t first = agent * count / order.size();
 			if ((position + count - first) % count < _coverage)
 			{
-				subset.push_back(order[slot]);
+				subset.push_back(order[agent]);
 			}
 		}
 		return subset;
--- a/src/decide/upstream_choice.cpp
+++ b/src/decide/upstream_choice.cpp
@@ -8,49 +8,49 @@
 {
 	namespace
 	{
-		/// Load per slot that a request may find in its own zone before it leaves it: about
-		/// what 1.4 ms more each way is worth against steps of 5 ms and more.
+		/// Extra load per slot accepted to stay in the own zone: roughly the cost of 1.4 ms more
+		/// latency each way relative to steps of 5 ms and more.
 		constexpr double kZoneAdvantage = 0.02;
-		/// Load per slot that a failure rate of 1 weighs: such an upstream is tried only when
-		/// all the others are full.
+		/// Load per slot that a failure rate of 1 is equivalent to: such an upstream is used only
+		/// when all the others are full.
 		constexpr double kFailureWeight = 2.0;
-		/// Weight of the newest answer in the moving failure rate: looks back some ten answers.
+		/// Weight of the newest response in the moving failure rate: averages about ten responses.
 		constexpr double kFailureGain = 0.1;
-		/// Failures in a row that suspend an upstream: one is chance, three are not.
+		/// Consecutive failures that suspend an upstream: a single one may be chance.
 		constexpr std::uint32_t kFailuresToSuspend = 3;
-		/// How long it is left alone then, ms; doubled for each further failure.
+		/// Duration of the first suspension; doubles with each further failure.
 		constexpr Millis kSuspendMs = 500;
 		constexpr Millis kMaxSuspendMs = 4'000;
-		/// Doublings that reach that time; more would overflow in the end.
+		/// Doublings that reach kMaxSuspendMs; the cap keeps the shift from overflowing.
 		constexpr std::uint32_t kMaxDoublings = 3;
 
 		double costOf(const UpstreamCandidate& _candidate)
 		{
-			// With the request itself, so that a slow one is passed over also while it is empty.
-			const double perSlot = _candidate.pace * (_candidate.load + 1.0) / double(std::max<std::uint32_t>(1, _candidate.slots));
-			return perSlot + kFailureWeight * _candidate.failureRate + (_candidate.ownZone ? 0.0 : kZoneAdvantage);
+			// Counts the request itself, so that a slow upstream is avoided even when it is idle.
+			const double loadPerSlot = _candidate.pace * (_candidate.load + 1.0) / double(std::max<std::uint32_t>(1, _candidate.slots));
+			return loadPerSlot + kFailureWeight * _candidate.failureRate + (_candidate.ownZone ? 0.0 : kZoneAdvantage);
 		}
 
-		/// @returns Those that may get the request: the sound ones, else all that it wasn't at.
-		std::vector<std::size_t> usableOf(const std::vector<UpstreamCandidate>& _candidates)
+		/// @returns Indices of the healthy candidates, else of all that the request wasn't sent to yet.
+		std::vector<std::size_t> preferredCandidates(const std::vector<UpstreamCandidate>& _candidates)
 		{
-			std::vector<std::size_t> sound;
-			std::vector<std::size_t> others; // suspended or slow
+			std::vector<std::size_t> healthy;
+			std::vector<std::size_t> degraded; // suspended or slow
 			for (std::size_t index = 0; index < _candidates.size(); ++index)
 			{
 				if (!_candidates[index].excluded)
 				{
 					const bool avoided = _candidates[index].suspended || isSlow(_candidates[index].pace);
-					(avoided ? others : sound).push_back(index);
+					(avoided ? degraded : healthy).push_back(index);
 				}
 			}
-			return sound.empty() ? others : sound;
+			return healthy.empty() ? degraded : healthy;
 		}
 	} // namespace
 
 	std::optional<std::size_t> chooseUpstream(const std::vector<UpstreamCandidate>& _candidates, Random& _random)
 	{
-		const std::vector<std::size_t> usable = usableOf(_candidates);
+		const std::vector<std::size_t> usable = preferredCandidates(_candidates);
 		if (usable.empty())
 		{
 			return std::nullopt;
@@ -69,7 +69,7 @@
 
 	std::optional<std::size_t> chooseLeastLoaded(const std::vector<UpstreamCandidate>& _candidates)
 	{
-		const std::vector<std::size_t> usable = usableOf(_candidates);
+		const std::vector<std::size_t> usable = preferredCandidates(_candidates);
 		const auto least = std::min_element(usable.begin(), usable.end(), [&](std::size_t _a, std::size_t _b) {
 			return costOf(_candidates[_a]) < costOf(_candidates[_b]);
 		});
