--- a/include/archdyke/acceptance.h
+++ b/include/archdyke/acceptance.h
@@ -1,4 +1,5 @@
-/// Configuration versions: staged in every zone first, then accepted, never taken back.
+/// Acceptance of configuration versions: a version is staged in every zone, then accepted, and never
+/// rolled back to an older number.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +11,7 @@
 
 namespace archdyke
 {
-	/// Names one version of the configuration. Version 0 is none.
+	/// Identifies one version of the configuration. Version 0 stands for none.
 	struct ConfigMark
 	{
 		std::uint64_t version = 0;
@@ -19,46 +20,46 @@
 		auto operator<=>(const ConfigMark&) const = default;
 	};
 
-	/// What one entry holds.
+	/// Configuration versions that one entry holds.
 	struct HeldConfig
 	{
-		ConfigMark head;   ///< In force here.
-		ConfigMark staged; ///< Held, not in force. Version 0 for none.
+		ConfigMark head;   ///< Version in force on this entry.
+		ConfigMark staged; ///< Version held but not in force; version 0 for none.
 
 		bool operator==(const HeldConfig&) const = default;
 	};
 
-	/// The table's row of the version being staged.
+	/// The table's row for the version being staged.
 	struct StageRow
 	{
 		ConfigMark mark;
-		std::string nonce; ///< Of the apply that staged it.
+		std::string nonce; ///< ID of the apply that staged it.
 
 		bool operator==(const StageRow&) const = default;
 	};
 
-	/// The table's row of the accepted version.
+	/// The table's row for the accepted version.
 	struct HeadRow
 	{
 		ConfigMark mark;
-		std::string nonce; ///< Of the apply that moved it; settles a lost confirmation.
+		std::string nonce; ///< ID of the apply that accepted it; resolves a lost confirmation.
 
 		bool operator==(const HeadRow&) const = default;
 	};
 
-	/// @returns Whether the entry should fetch and put in force the accepted version it
-	/// hears of. Never an older one.
+	/// @returns Whether an accepted version is newer than the one in force, so that the entry should
+	/// fetch it and put it in force.
 	bool isNewer(const HeldConfig& _held, const ConfigMark& _head);
 
-	/// Puts a version in force, if it is newer than what is.
+	/// Puts a version in force if it is newer than the one in force.
 	/// @returns Whether anything changed.
 	bool adoptHead(HeldConfig& _held, const ConfigMark& _head);
 
-	/// Notes a staged version whose bytes are held.
-	/// @returns Whether anything changed. A version not above the head is not staged.
+	/// Records a staged version whose bytes are held. Ignores a version that isn't newer than the head.
+	/// @returns Whether anything changed.
 	bool holdStaged(HeldConfig& _held, const ConfigMark& _staged);
 
-	/// What one peer of the same zone says it holds.
+	/// Versions that a peer of the same zone reports to hold.
 	struct PeerHolding
 	{
 		std::string name;
@@ -68,14 +69,14 @@
 		bool operator==(const PeerHolding&) const = default;
 	};
 
-	/// @returns Whether a zone may confirm a staged version: this entry and every
-	/// reachable entry of its zone hold it or have a newer one in force.
+	/// @returns Whether a zone may confirm a staged version: this entry holds it, and every reachable
+	/// entry of its zone holds it or has it or a newer one in force.
 	bool zoneHolds(const HeldConfig& _held, const std::vector<PeerHolding>& _zonePeers, const ConfigMark& _staged);
 
-	/// Result of one look at the confirmations.
+	/// Result of a check of the confirmations.
 	struct AcceptanceView
 	{
-		std::vector<std::string> missing; ///< Zones that have not confirmed.
+		std::vector<std::string> missing; ///< Zones that have not confirmed yet.
 
 		bool operator==(const AcceptanceView&) const = default;
 	};
@@ -97,14 +98,14 @@
 	enum class ApplyEnd
 	{
 		Accepted,
-		Conflict,    ///< Another apply moved the head or took the stage.
+		Conflict,    ///< Another apply accepted or staged a version.
 		NotAccepted, ///< Nothing changed.
 		Count
 	};
 
-	/// Settles a move of the head whose answer was lost.
-	/// @param[in] _accepted Nonce of the apply that made the staged version's number the
-	/// accepted one, if any did. Written with the head in one transaction.
-	/// @returns Accepted or Conflict; none when the move has not taken effect.
+	/// Resolves an update of the head whose response was lost.
+	/// @param[in] _accepted Nonce of the apply that accepted the staged version's number, if any did.
+	/// Written together with the head in one transaction.
+	/// @returns Accepted or Conflict; none if the update has not taken effect.
 	std::optional<ApplyEnd> settleMove(const StageRow& _stage, const std::optional<std::string>& _accepted);
 } // namespace archdyke
--- a/include/archdyke/catalog.h
+++ b/include/archdyke/catalog.h
@@ -1,4 +1,4 @@
-/// What operators declared, as the gateway uses it: routes, services, organisations, limits.
+/// The configuration as used by the gateway: routes, services, organisations and limits.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -12,7 +12,7 @@
 
 namespace archdyke
 {
-	/// What may be repeated on a route.
+	/// Whether requests of a route may be repeated.
 	enum class Repeat
 	{
 		Always, ///< Idempotent.
@@ -20,7 +20,7 @@
 		Count
 	};
 
-	/// A service of a route and its share of the requests.
+	/// A service of a route and its share of the route's requests.
 	struct WeightedService
 	{
 		std::string name;
@@ -29,69 +29,69 @@
 		bool operator==(const WeightedService&) const = default;
 	};
 
-	/// Requests of one host below one path.
+	/// A route: requests to one host below one path prefix.
 	struct CatalogRoute
 	{
 		std::string name;
 		std::string host;
-		std::string pathPrefix; ///< Begins and ends with a slash.
+		std::string pathPrefix; ///< Starts and ends with a slash.
 		Repeat repeat = Repeat::AtMostOnce;
-		bool stream = false;        ///< Answers are series of events.
-		bool resumable = false;     ///< A broken stream may go on at another upstream.
-		Millis timeoutMs = 0;       ///< Longest time that a request may be held.
-		Millis objectiveMs = 0;     ///< Answers within it earn their full worth; of a stream, the first event.
-		Millis gapObjectiveMs = 0;  ///< Longest pause between events; 0 when none is declared.
+		bool stream = false;        ///< Responses are event streams.
+		bool resumable = false;     ///< A broken stream may be resumed at another upstream.
+		Millis timeoutMs = 0;       ///< Maximum duration of a request.
+		Millis objectiveMs = 0;     ///< Latency objective of responses; of a stream, for the first event.
+		Millis gapObjectiveMs = 0;  ///< Maximum gap between events; 0 when none is declared.
 		std::uint32_t priority = 0; ///< 0 is the most urgent.
 		std::vector<WeightedService> services;
 		std::uint32_t maxAttempts = 1; ///< Upstreams that one request may be sent to.
-		bool isPublic = false;         ///< Needs no key.
+		bool isPublic = false;         ///< Requests need no key.
 
 		bool operator==(const CatalogRoute&) const = default;
 	};
 
-	/// Speed of a model engine as its operator declares it.
+	/// Performance model of a model engine, as declared by its operator.
 	struct EngineModel
 	{
-		std::uint32_t slots = 0;         ///< Requests of one batch.
-		double stepMs = 0.0;             ///< A decoding step with an empty batch.
-		double perSequenceMs = 0.0;      ///< More for each request that is decoding.
-		double contextMsPerK = 0.0;      ///< More for 1,000 tokens of context.
-		double prefillTokensPerMs = 0.0; ///< Tokens of prompts that are read.
-		std::uint32_t stride = 1;        ///< Decoding steps of one pass.
+		std::uint32_t slots = 0;         ///< Maximum requests per batch.
+		double stepMs = 0.0;             ///< Time of a decoding step with an empty batch.
+		double perSequenceMs = 0.0;      ///< Additional step time per decoding request.
+		double contextMsPerK = 0.0;      ///< Additional step time per 1,000 tokens of context.
+		double prefillTokensPerMs = 0.0; ///< Prefill throughput, tokens per ms.
+		std::uint32_t stride = 1;        ///< Decoding steps per pass.
 		std::uint32_t sets = 0;          ///< Layer sets with experts; 0 for a dense model.
-		std::uint32_t experts = 0;       ///< Experts of a set.
-		std::uint32_t places = 0;        ///< Experts of a set that a rank can hold.
-		std::uint32_t spare = 0;         ///< New experts of a set that a rank can copy at once.
+		std::uint32_t experts = 0;       ///< Experts per layer set.
+		std::uint32_t places = 0;        ///< Experts per layer set that a rank can hold.
+		std::uint32_t spare = 0;         ///< New experts per layer set that a rank can copy at once.
 		double expertShare = 0.0;        ///< Share of a token's work that experts do.
 		double expertCopyMs = 0.0;       ///< Time to copy one expert to a rank.
-		Millis formMs = 0;               ///< A group needs this to open again.
+		Millis formMs = 0;               ///< Time that a group needs to form.
 		std::uint32_t usualPromptTokens = 0;
 		std::uint32_t usualAnswerTokens = 0;
 
 		bool operator==(const EngineModel&) const = default;
 	};
 
-	/// What an upstream bears for some time after it started.
+	/// Load limit of an upstream for some time after its start.
 	struct ColdLimit
 	{
-		Millis coldMs = 0;         ///< How long it is cold after a start.
-		double requestsPerS = 0.0; ///< Arrivals that a cold one bears, of all gateways together.
+		Millis coldMs = 0;         ///< Time for which it is cold after its start.
+		double requestsPerS = 0.0; ///< Arrivals per second that a cold upstream sustains, from all gateways together.
 
 		bool operator==(const ColdLimit&) const = default;
 	};
 
-	/// Upstreams that do the same work.
+	/// A service: interchangeable upstreams.
 	struct CatalogService
 	{
 		std::string name;
-		std::uint32_t maxConnections = 0; ///< Of one upstream, from all gateways together.
-		std::optional<ColdLimit> cold;    ///< None: a cold upstream bears as much as any.
+		std::uint32_t maxConnections = 0; ///< Maximum connections to one upstream, from all gateways together.
+		std::optional<ColdLimit> cold;    ///< None: cold upstreams need no limit.
 		std::optional<EngineModel> engine;
 
 		bool operator==(const CatalogService&) const = default;
 	};
 
-	/// What a caller may send, and how long it may take.
+	/// Size and time limits for requests of callers.
 	struct CallerLimits
 	{
 		std::size_t headerBytes = 16'384;
@@ -102,12 +102,12 @@
 		bool operator==(const CallerLimits&) const = default;
 	};
 
-	/// Who pays for requests, told by a key.
+	/// An organisation, identified by its keys, to which requests are accounted.
 	struct CatalogOrganisation
 	{
 		std::string name;
 		std::vector<std::string> keys;
-		std::uint32_t priority = 0; ///< Of its requests; 0 is the most urgent.
+		std::uint32_t priority = 0; ///< Priority of its requests; 0 is the most urgent.
 
 		bool operator==(const CatalogOrganisation&) const = default;
 	};
@@ -124,7 +124,7 @@
 		bool operator==(const Catalog&) const = default;
 	};
 
-	/// A catalog with what look-ups need. The indices point into its lists.
+	/// A catalog with indices for look-ups. The indices refer to positions in its lists.
 	struct CatalogIndex
 	{
 		Catalog catalog;
@@ -133,26 +133,26 @@
 		absl::flat_hash_map<std::string, std::size_t> serviceByName;
 	};
 
-	/// Builds the indices. Of routes with equal prefixes, and of keys or names that stand
-	/// twice, the first one counts.
+	/// Builds the indices. Of routes with equal prefixes, and of duplicate keys or names, the first
+	/// one is used.
 	CatalogIndex makeIndex(Catalog _catalog);
 
-	/// @param[in] _host As a caller sent it; a port is passed over.
+	/// @param[in] _host Host as sent by the caller; a port is ignored.
 	/// @param[in] _target Path, with or without a query.
-	/// @returns The route of the longest prefix; null when there is none.
+	/// @returns The route with the longest matching prefix; null when there is none.
 	const CatalogRoute* findRoute(const CatalogIndex& _index, std::string_view _host, std::string_view _target);
 
-	/// @returns The organisation that holds a key; null when nobody does.
+	/// @returns The organisation that owns a key; null when there is none.
 	const CatalogOrganisation* findOrganisation(const CatalogIndex& _index, std::string_view _key);
 
 	/// @returns null when the catalog has no such service.
 	const CatalogService* findService(const CatalogIndex& _index, std::string_view _name);
 
-	/// Chooses among a route's services by weight.
-	/// @param[in] _draw In [0, 1).
-	/// @returns null when the route has no service with a weight.
+	/// Chooses one of a route's services by weight.
+	/// @param[in] _draw Uniformly random number in [0, 1).
+	/// @returns null when the route has no service with a positive weight.
 	const WeightedService* chooseService(const CatalogRoute& _route, double _draw);
 
-	/// @returns Whether a request of the route may run a second time.
+	/// @returns Whether a request of the route may run more than once.
 	bool mayRepeat(const CatalogRoute& _route);
 } // namespace archdyke
--- a/include/archdyke/claim.h
+++ b/include/archdyke/claim.h
@@ -1,5 +1,5 @@
-/// Claims of idempotency keys: a row in the platform's table that lets one entry alone
-/// dispatch a request that may not be repeated.
+/// Claims of idempotency keys: a row in the platform's table ensures that only one entry dispatches
+/// a request that may not be repeated.
 #pragma once
 
 #include <optional>
@@ -12,8 +12,8 @@
 {
 	enum class ClaimState
 	{
-		Claimed, ///< Somebody may be running it.
-		Ran,     ///< It ran.
+		Claimed, ///< The request may be running.
+		Ran,     ///< The request ran.
 		Count
 	};
 
@@ -21,30 +21,30 @@
 	struct ClaimRow
 	{
 		ClaimState state = ClaimState::Claimed;
-		std::string nonce; ///< Of the request that claimed it.
+		std::string nonce; ///< ID of the request that claimed the key.
 
 		bool operator==(const ClaimRow&) const = default;
 	};
 
-	/// @returns The key of a claim's row in the table.
+	/// @returns The table key of a claim's row.
 	std::string claimKey(std::string_view _service, std::string_view _organisation, std::string_view _idempotencyKey);
 
 	/// @returns The row's value as stored.
 	std::string encodeClaim(const ClaimRow& _row);
 
-	/// @returns The row of a stored value. What can't be read counts as claimed by an
-	/// unknown request, so that nothing runs on it.
+	/// @returns The row of a stored value. An unreadable value counts as claimed by an unknown
+	/// request, so that no request runs on it.
 	ClaimRow decodeClaim(std::string_view _value);
 
 	enum class ClaimVerdict
 	{
-		Mine,       ///< This request may be dispatched.
-		Free,       ///< Nobody holds it.
-		AlreadyRan, ///< It ran before.
-		InDoubt,    ///< Another request holds it: it may be running, or have run.
+		Mine,       ///< Claimed by this request, which may be dispatched.
+		Free,       ///< Not claimed.
+		AlreadyRan, ///< A request with this key already ran.
+		InDoubt,    ///< Claimed by another request, which may be running or have run.
 		Count
 	};
 
-	/// Reads a row on behalf of the request with _nonce.
+	/// Evaluates a claim's row for the request with _nonce.
 	ClaimVerdict readClaim(const std::optional<ClaimRow>& _row, std::string_view _nonce);
 } // namespace archdyke
--- a/include/archdyke/document.h
+++ b/include/archdyke/document.h
@@ -1,4 +1,4 @@
-/// The operators' file: services, organisations, availability zones and upstreams.
+/// Model and parser of the operators' file: services, organisations, availability zones and upstreams.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 	enum class ServiceKind
 	{
 		Model, ///< Groups of model ranks.
-		Plain, ///< HTTP calls.
+		Plain, ///< Plain HTTP service.
 		Count
 	};
 
@@ -26,21 +26,21 @@
 	{
 		std::string name;
 		std::string region;
-		double distanceMs = 0.0; ///< One way to the other zones of its region.
+		double distanceMs = 0.0; ///< One-way latency to the other zones of its region.
 
 		auto operator<=>(const Zone&) const = default;
 	};
 
-	/// What the operator sets of the placement of experts, see OPERATIONS.md.
+	/// Operator's settings for the placement of experts, see OPERATIONS.md.
 	struct PlacementPolicy
 	{
-		double skewTolerance = 0.1;     ///< Mean overload of the slowest rank that is left alone; 0.1 is 10%.
-		double expertsPerMinute = 64.0; ///< Experts that may be staged a minute, for each group.
+		double skewTolerance = 0.1;     ///< Tolerated mean overload of the slowest rank; 0.1 is 10%.
+		double expertsPerMinute = 64.0; ///< Experts that may be staged per minute and group.
 
 		auto operator<=>(const PlacementPolicy&) const = default;
 	};
 
-	/// A call of a plain service that may not be repeated.
+	/// Matches calls of a plain service that may not be repeated.
 	struct RouteRule
 	{
 		std::string method;
@@ -49,13 +49,13 @@
 		auto operator<=>(const RouteRule&) const = default;
 	};
 
-	/// A service that callers name.
+	/// A service that callers can address.
 	struct Service
 	{
 		std::string name;
 		ServiceKind kind = ServiceKind::Plain;
-		Millis deadlineMs = 0;     ///< For one request.
-		std::uint32_t experts = 0; ///< A layer; model services only.
+		Millis deadlineMs = 0;     ///< Deadline of a request.
+		std::uint32_t experts = 0; ///< Experts per layer; model services only.
 		std::uint32_t layers = 0;  ///< Model services only.
 		PlacementPolicy placement;
 		std::vector<RouteRule> notRepeatable; ///< Plain services only.
@@ -70,7 +70,7 @@
 		std::string keyDigest; ///< SHA-256 of its key, hex.
 		double requestsPerSecond = 0.0;
 		double burst = 0.0;       ///< Requests.
-		std::uint32_t weight = 1; ///< Its share in queues.
+		std::uint32_t weight = 1; ///< Weight in fair queueing.
 
 		auto operator<=>(const Organisation&) const = default;
 	};
@@ -87,7 +87,7 @@
 		auto operator<=>(const Upstream&) const = default;
 	};
 
-	/// The whole file.
+	/// Contents of the file.
 	struct Document
 	{
 		std::string office;
@@ -99,14 +99,14 @@
 		auto operator<=>(const Document&) const = default;
 	};
 
-	/// Reads and checks a file.
-	/// @throws InvalidInputError Listing all that is wrong.
+	/// Parses and validates a file.
+	/// @throws InvalidInputError Listing all problems.
 	Document parseDocument(const std::string& _source, std::string_view _text);
 
 	/// @returns The service with this name; null when there is none.
 	const Service* findService(const Document& _document, std::string_view _name);
 
-	/// @returns One line for each thing that _to adds, changes or removes.
+	/// @returns One line for each item that _to adds, changes or removes.
 	std::vector<std::string> diffDocuments(const Document& _from, const Document& _to);
 
 	/// @returns Whether a call may be repeated by its service's rules.
--- a/include/archdyke/errors.h
+++ b/include/archdyke/errors.h
@@ -1,5 +1,4 @@
-/// Errors that archdyke throws. Each message says what happened, to what, and what
-/// to do about it.
+/// Exceptions thrown by archdyke. Each message states what happened, to what, and how to fix it.
 #pragma once
 
 #include <stdexcept>
@@ -14,17 +13,17 @@
 		using std::runtime_error::runtime_error;
 	};
 
-	/// One thing that is wrong with a file.
+	/// A problem in a file or message.
 	struct Problem
 	{
-		std::string where;  ///< Line, or path of the field.
-		std::string found;  ///< What stands there.
+		std::string where;  ///< Line number or path of the field.
+		std::string found;  ///< Value found there.
 		std::string remedy; ///< What to write instead.
 
 		bool operator==(const Problem&) const = default;
 	};
 
-	/// A file or message that can't be taken. Lists all that is wrong with it.
+	/// An invalid file or message. Lists all its problems.
 	struct InvalidInputError : ArchdykeError
 	{
 		InvalidInputError(const std::string& _source, std::vector<Problem> _problems);
@@ -32,13 +31,13 @@
 		std::vector<Problem> problems;
 	};
 
-	/// The platform didn't answer, or said that it can't.
+	/// The platform didn't respond, or reported a failure.
 	struct PlatformError : ArchdykeError
 	{
 		using ArchdykeError::ArchdykeError;
 	};
 
-	/// Somebody else changed what was to be changed.
+	/// A concurrent change conflicts with the attempted one.
 	struct ConflictError : ArchdykeError
 	{
 		using ArchdykeError::ArchdykeError;
--- a/include/archdyke/event_stream.h
+++ b/include/archdyke/event_stream.h
@@ -1,4 +1,4 @@
-/// Splits a text/event-stream into whole events and checks the order of their ids.
+/// Splits a text/event-stream into complete events and checks the order of their ids.
 #pragma once
 
 #include <cstdint>
@@ -9,16 +9,16 @@
 
 namespace archdyke
 {
-	/// One whole event with the blank line that ends it.
+	/// One complete event, including its terminating blank line.
 	struct StreamEvent
 	{
-		std::optional<std::uint64_t> id; ///< None when it bears no id, or no number.
+		std::optional<std::uint64_t> id; ///< None if it has no id, or one that isn't a number.
 		std::string bytes;
 
 		bool operator==(const StreamEvent&) const = default;
 	};
 
-	/// Bytes of an event that isn't whole yet.
+	/// Buffers the bytes of an incomplete event.
 	struct EventSplitter
 	{
 		std::string rest;
@@ -26,19 +26,19 @@
 		bool operator==(const EventSplitter&) const = default;
 	};
 
-	/// @returns The events that the piece completes.
-	std::vector<StreamEvent> splitEvents(EventSplitter& _splitter, std::string_view _piece);
+	/// @returns The events completed by a chunk of the stream.
+	std::vector<StreamEvent> splitEvents(EventSplitter& _splitter, std::string_view _chunk);
 
-	/// What to do with an event that a run brought.
+	/// How to handle an event of a run.
 	enum class EventVerdict
 	{
 		Deliver,
-		Skip,  ///< Delivered before; a resumed run repeats it.
-		Break, ///< Events are missing before it: the stream can't go on from this run.
+		Skip,  ///< Already delivered; a resumed run repeats it.
+		Break, ///< Events before it are missing: the stream can't continue with this run.
 		Count
 	};
 
-	/// @returns What to do with an event.
-	/// @param[in] _delivered Id of the last event that went to the caller; none before the first.
+	/// @returns How to handle an event.
+	/// @param[in] _delivered Id of the last event delivered to the caller; none before the first.
 	EventVerdict judgeEvent(const StreamEvent& _event, std::optional<std::uint64_t> _delivered);
 } // namespace archdyke
--- a/include/archdyke/lease.h
+++ b/include/archdyke/lease.h
@@ -1,6 +1,6 @@
-/// A lease on a row of the platform's table, without a common clock: a watcher takes
-/// over once the row has stood still for the lease time on its own clock, and each
-/// holder gets a higher fence, which those that act on its orders check.
+/// Lease on a row of the platform's table, without synchronized clocks: another process takes over
+/// once the row has been unchanged for the lease time on its local clock. Each holder gets a higher
+/// fencing token, which receivers of its orders check.
 #pragma once
 
 #include <cstdint>
@@ -14,23 +14,23 @@
 	/// The row as stored.
 	struct LeaseRow
 	{
-		std::uint64_t holder = 0;  ///< Incarnation; 0 when given back.
-		std::uint64_t fence = 0;   ///< Rises with each new holder.
-		std::uint64_t renewal = 0; ///< Rises with each renewal.
+		std::uint64_t holder = 0;  ///< Incarnation of the holder; 0 when released.
+		std::uint64_t fence = 0;   ///< Fencing token; increases with each new holder.
+		std::uint64_t renewal = 0; ///< Increases with each renewal.
 
 		bool operator==(const LeaseRow&) const = default;
 	};
 
-	/// What one process knows of the lease.
+	/// State of the lease as known to one process.
 	struct LeaseView
 	{
 		std::uint64_t self = 0;
 		std::optional<LeaseRow> seen;
-		Millis seenSince = 0; ///< When the row was first seen as it stands.
+		Millis seenSince = 0; ///< When the current state of the row was first seen, local clock.
 		Millis actUntil = 0;  ///< Until when this process may act as holder.
 	};
 
-	/// What to write next.
+	/// Next write to the row, if any.
 	struct LeaseStep
 	{
 		bool write = false;
@@ -39,14 +39,14 @@
 		bool operator==(const LeaseStep&) const = default;
 	};
 
-	/// Decides after a read of the row.
-	/// @param[in] _row The row; none when there is none.
+	/// Decides whether to acquire or renew the lease after a read of the row.
+	/// @param[in] _row The row; none if it doesn't exist.
 	LeaseStep decideLease(LeaseView& _view, const std::optional<LeaseRow>& _row, Millis _now);
 
-	/// Notes that a write that was begun at _begunAt took effect. The time to act counts
-	/// from before the write, so that a pause in between shortens it.
+	/// Records that a write started at _begunAt took effect. The time to act counts from the start of
+	/// the write, so that a pause during it shortens that time.
 	void leaseWritten(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now);
 
-	/// @returns The fence to act with, while this process may act as holder.
+	/// @returns The fencing token while this process may act as holder, else none.
 	std::optional<std::uint64_t> actingFence(const LeaseView& _view, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/ledger.h
+++ b/include/archdyke/ledger.h
@@ -1,5 +1,5 @@
-/// The run ledger of an agent: which runs it has queued, started, ended or taken back.
-/// It is what lets an entry say "not run" on proof.
+/// Run ledger of an agent: records which runs were queued, started, finished or revoked, so that an
+/// entry can prove that a request was not run.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -12,8 +12,8 @@
 
 namespace archdyke
 {
-	/// queued -> started -> done, or queued -> revoked. A started run is revoked only when
-	/// its upstream couldn't be reached at all.
+	/// Queued -> Started -> Done, or Queued -> Revoked. A started run is revoked only if no byte
+	/// of it was sent to the upstream.
 	enum class RunState
 	{
 		Queued,
@@ -23,7 +23,7 @@
 		Count
 	};
 
-	/// One try of a request, as the agent knows it.
+	/// One attempt of a request.
 	struct RunRecord
 	{
 		std::uint32_t attempt = 0;
@@ -32,7 +32,7 @@
 		bool operator==(const RunRecord&) const = default;
 	};
 
-	/// Lowest session of an entry that may still start runs.
+	/// Lowest session number of an entry that may still start runs.
 	struct SessionFloor
 	{
 		std::uint64_t number = 0;
@@ -41,14 +41,14 @@
 		bool operator==(const SessionFloor&) const = default;
 	};
 
-	/// A run that ended, in the order in which it may be forgotten.
+	/// A run that ended, kept until it expires.
 	struct EndedRun
 	{
 		RunKey key;
 		Millis endedAt = 0;
 	};
 
-	/// State of the ledger. Lives as long as one incarnation of the agent.
+	/// State of the ledger, for one incarnation of the agent.
 	struct Ledger
 	{
 		std::uint64_t incarnation = 0;
@@ -59,33 +59,31 @@
 		std::deque<EndedRun> ended;
 	};
 
-	/// Opens a session and closes all older ones of the same entry.
-	/// @returns false when a newer session of the entry is open already.
+	/// Opens a session and invalidates all older ones of the same entry.
+	/// @returns false if a newer session of the entry is already open.
 	bool openSession(Ledger& _ledger, const Session& _session, Millis _now);
 
-	/// Takes a run into the ledger as queued.
-	/// @returns None, or the reason why the run was refused; a refused run has not
-	/// started and this offer of it never will.
+	/// Adds a run as queued.
+	/// @returns None, or the reason of the refusal; a refused offer never starts a run.
 	RefusalReason offerRun(Ledger& _ledger, const RunKey& _key, const Session& _session, bool _repeatable, Millis _now);
 
-	/// Marks a queued run as started. Must be called before its first byte goes to
-	/// the upstream.
-	/// @returns false when the run is not queued any more; it must not run then.
+	/// Marks a queued run as started. Must be called before its first byte is sent to the upstream.
+	/// @returns false if the run is no longer queued; it must not run then.
 	bool startRun(Ledger& _ledger, const RunKey& _key);
 
 	/// Marks a started run as done.
 	void finishRun(Ledger& _ledger, const RunKey& _key, Millis _now);
 
-	/// Takes a started run back of which no byte left for the upstream.
+	/// Revokes a started run of which no byte was sent to the upstream.
 	void withdrawRun(Ledger& _ledger, const RunKey& _key, Millis _now);
 
-	/// Drops a queued run for good, for reasons of the agent's own.
-	/// @returns false when it has started.
+	/// Revokes a queued run on the agent's own initiative.
+	/// @returns false if it has started.
 	bool dropRun(Ledger& _ledger, const RunKey& _key, Millis _now);
 
-	/// Takes a run back for its entry, if it has not started.
+	/// Revokes a run on behalf of its entry, if it has not started.
 	RevokeState revokeRun(Ledger& _ledger, const RunKey& _key, const Session& _session, Millis _now);
 
-	/// Forgets what is older than kLedgerKeepMs and kSessionFloorKeepMs.
+	/// Removes ended runs older than kLedgerKeepMs and session floors older than kSessionFloorKeepMs.
 	void forgetRuns(Ledger& _ledger, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/membership.h
+++ b/include/archdyke/membership.h
@@ -1,6 +1,6 @@
-/// What an entry knows of an upstream: from the VM list, which lags, from the agent's
-/// own word, and from the link to it. Leaving from any source wins and stays for the
-/// incarnation it was said of.
+/// Membership of an upstream as known to an entry: from the VM list, which lags, from the agent's own
+/// reports, and from the link to it. A report from any source that it is leaving takes precedence and
+/// is permanent for that incarnation.
 #pragma once
 
 #include <cstdint>
@@ -21,27 +21,27 @@
 	/// @returns The name used by the VM list.
 	std::string_view toString(ListState _state);
 
-	/// An upstream as one entry sees it.
+	/// State of an upstream as seen by one entry.
 	struct Member
 	{
 		ListState list = ListState::Live;
-		std::uint64_t incarnation = 0;        ///< Of the agent last heard; 0 for none.
-		std::uint64_t leavingIncarnation = 0; ///< That was said to leave; 0 for none.
+		std::uint64_t incarnation = 0;        ///< Incarnation of the agent that reported last; 0 for none.
+		std::uint64_t leavingIncarnation = 0; ///< Incarnation that was reported as leaving; 0 for none.
 		bool linkUp = false;
 
 		bool operator==(const Member&) const = default;
 	};
 
-	/// Takes in what the VM list says. A list that says live again doesn't take back
-	/// that this incarnation leaves.
+	/// Applies the state in the VM list. If the list reports Live again, the incarnation that was
+	/// reported as leaving stays so.
 	void hearList(Member& _member, ListState _state);
 
-	/// Takes in what the agent says of itself.
+	/// Applies a report of the agent.
 	void hearAgent(Member& _member, std::uint64_t _incarnation, bool _leaving);
 
-	/// Takes in the state of the link.
+	/// Applies the state of the link.
 	void hearLink(Member& _member, bool _up);
 
-	/// @returns Whether new work may go there.
+	/// @returns Whether new requests may be sent there.
 	bool mayReceiveWork(const Member& _member);
 } // namespace archdyke
--- a/include/archdyke/relay.h
+++ b/include/archdyke/relay.h
@@ -1,5 +1,5 @@
-/// Which pieces of an answer go on to the caller. Only the next byte of the live try
-/// does; whatever is late, doubled or out of order is dropped or asked for again.
+/// Decides which frames of a response are forwarded to the caller. Only the next byte of the current
+/// attempt is forwarded; late, duplicate or out-of-order frames are dropped or requested again.
 #pragma once
 
 #include <cstdint>
@@ -8,47 +8,47 @@
 
 namespace archdyke
 {
-	/// How far an answer has been handed on.
+	/// Forwarding progress of a response.
 	struct RelayState
 	{
 		RunKey key;
-		std::uint64_t nextOffset = 0; ///< Bytes handed on.
+		std::uint64_t nextOffset = 0; ///< Bytes forwarded so far.
 		bool complete = false;
 
 		bool operator==(const RelayState&) const = default;
 	};
 
-	/// A piece of an answer without its bytes.
+	/// Metadata of a response frame.
 	struct FrameHead
 	{
 		RunKey key;
 		std::uint64_t offset = 0;
 		std::uint64_t size = 0;
 		bool end = false;
-		std::uint64_t total = 0; ///< Bytes of the whole body; valid at the end.
-		bool failed = false;     ///< The upstream broke off.
+		std::uint64_t total = 0; ///< Size of the complete body; valid if end is set.
+		bool failed = false;     ///< The upstream broke off the response.
 
 		bool operator==(const FrameHead&) const = default;
 	};
 
 	enum class FrameAction
 	{
-		Deliver, ///< Hand on the bytes after skip.
-		Drop,    ///< Another request's, another try's, or seen before.
-		Gap,     ///< Bytes are missing before this piece: resume at nextOffset.
-		Broken,  ///< The answer can't be completed.
+		Deliver, ///< Forward the bytes after skip.
+		Drop,    ///< Belongs to another request or attempt, or is a duplicate.
+		Gap,     ///< Bytes before this frame are missing: resume at nextOffset.
+		Broken,  ///< The response can't be completed.
 		Count
 	};
 
-	/// What to do with a piece.
+	/// How to handle a frame.
 	struct FrameDecision
 	{
 		FrameAction action = FrameAction::Drop;
-		std::uint64_t skip = 0; ///< Bytes of the piece that were handed on before.
+		std::uint64_t skip = 0; ///< Bytes of the frame that were already forwarded.
 
 		bool operator==(const FrameDecision&) const = default;
 	};
 
-	/// Decides on a piece and moves the state on.
+	/// Decides how to handle a frame and updates the state.
 	FrameDecision acceptFrame(RelayState& _state, const FrameHead& _frame);
 } // namespace archdyke
--- a/include/archdyke/text_difference.h
+++ b/include/archdyke/text_difference.h
@@ -1,8 +1,8 @@
-/// What turns one text into another that differs in few places: a configuration of thousands of lines of which one
-/// has changed.
+/// Delta encoding between two texts that differ in few places, such as a configuration of thousands of lines of which
+/// one has changed.
 ///
-/// Copies of pieces of the base and new bytes in turn, as in the delta encoding of rsync (Tridgell and Mackerras 1996),
-/// found by the blocks of the base. It carries a hash of the result: applied to another base it is noticed.
+/// A delta alternates new bytes and copies of ranges of the base, found by fixed-size blocks of the base as in rsync
+/// (Tridgell and Mackerras 1996). It starts with a hash of the result, so that use with a wrong base is detected.
 #pragma once
 
 #include <optional>
@@ -11,9 +11,9 @@
 
 namespace archdyke
 {
-	/// @returns What makes _target of _base. It may be longer than the target when they have little in common.
+	/// @returns The delta that turns _base into _target. It may be longer than _target if they have little in common.
 	std::string differenceBetween(std::string_view _base, std::string_view _target);
 
-	/// @returns The text that a difference makes of its base; none when it doesn't fit or isn't one.
+	/// @returns The target text; none if the delta is malformed or belongs to another base.
 	std::optional<std::string> applyTextDifference(std::string_view _base, std::string_view _difference);
 } // namespace archdyke
--- a/include/archdyke/types.h
+++ b/include/archdyke/types.h
@@ -1,4 +1,4 @@
-/// Values that every part of archdyke shares.
+/// Types used by all parts of archdyke.
 #pragma once
 
 #include <compare>
@@ -8,13 +8,13 @@
 
 namespace archdyke
 {
-	/// Milliseconds, as a span or since an arbitrary start of a monotonic clock.
+	/// Milliseconds, as a duration or since an arbitrary start of a monotonic clock.
 	using Millis = std::int64_t;
 
-	/// What is known of a request once its final answer is given.
+	/// What is known about the execution of a request when its final answer is given.
 	enum class Outcome
 	{
-		Ran,     ///< It ran, wholly or in part.
+		Ran,     ///< It ran completely or partially.
 		NotRun,  ///< Proved: it did not run and never will.
 		Unknown, ///< It may have run.
 		Count
@@ -23,7 +23,7 @@
 	/// @returns The name used in headers, logs and reports.
 	std::string_view toString(Outcome _outcome);
 
-	/// Names one try of one request.
+	/// Identifies one attempt of a request.
 	struct RunKey
 	{
 		std::string requestId;
@@ -38,8 +38,8 @@
 		}
 	};
 
-	/// A connection between an entry and an agent, named by the incarnations of both
-	/// and a number that rises with each new connection of the pair.
+	/// A connection between an entry and an agent, identified by the incarnations of both and a
+	/// number that increases with each new connection of the pair.
 	struct Session
 	{
 		std::uint64_t entry = 0;
@@ -49,7 +49,7 @@
 		auto operator<=>(const Session&) const = default;
 	};
 
-	/// Load that an agent reports. Counts of runs; times in ms.
+	/// Load reported by an agent: numbers of runs, times in ms.
 	struct LoadReport
 	{
 		std::uint32_t running = 0;
@@ -62,7 +62,7 @@
 		bool operator==(const LoadReport&) const = default;
 	};
 
-	/// Why an agent refuses a run. Each but Duplicate proves that the try did not start.
+	/// Why an agent refuses a run. Each reason but Duplicate proves that the attempt did not start.
 	enum class RefusalReason
 	{
 		None,
@@ -79,7 +79,7 @@
 	/// @returns The name used in headers, logs and reports.
 	std::string_view toString(RefusalReason _reason);
 
-	/// What an agent can say of a run that its entry takes back.
+	/// Result of revoking a run on an agent.
 	enum class RevokeState
 	{
 		NotRun,  ///< Proved: it did not start and never will.
--- a/src/decide/catalog.cpp
+++ b/src/decide/catalog.cpp
@@ -87,11 +87,11 @@
 		{
 			total += service.weight;
 		}
-		double left = _draw * total;
+		double remaining = _draw * total;
 		for (const WeightedService& service : _route.services)
 		{
-			left -= service.weight;
-			if (left < 0.0)
+			remaining -= service.weight;
+			if (remaining < 0.0)
 			{
 				return &service;
 			}
--- a/src/decide/event_stream.cpp
+++ b/src/decide/event_stream.cpp
@@ -22,29 +22,29 @@
 			return std::nullopt;
 		}
 
-		/// @returns Bytes up to and with the blank line; 0 when there is none yet.
+		/// @returns Size of the first event including its blank line; 0 if it is incomplete.
 		std::size_t eventSize(std::string_view _text)
 		{
-			const std::size_t plain = _text.find("\n\n");
-			const std::size_t carriage = _text.find("\r\n\r\n");
-			const std::size_t plainEnd = std::string_view::npos == plain ? std::string_view::npos : plain + 2;
-			const std::size_t carriageEnd = std::string_view::npos == carriage ? std::string_view::npos : carriage + 4;
-			const std::size_t end = std::min(plainEnd, carriageEnd);
+			const std::size_t lf = _text.find("\n\n");
+			const std::size_t crlf = _text.find("\r\n\r\n");
+			const std::size_t lfEnd = std::string_view::npos == lf ? std::string_view::npos : lf + 2;
+			const std::size_t crlfEnd = std::string_view::npos == crlf ? std::string_view::npos : crlf + 4;
+			const std::size_t end = std::min(lfEnd, crlfEnd);
 			return std::string_view::npos == end ? 0 : end;
 		}
 	} // namespace
 
-	std::vector<StreamEvent> splitEvents(EventSplitter& _splitter, std::string_view _piece)
+	std::vector<StreamEvent> splitEvents(EventSplitter& _splitter, std::string_view _chunk)
 	{
-		_splitter.rest += _piece;
+		_splitter.rest += _chunk;
 		std::vector<StreamEvent> events;
-		std::string_view left = _splitter.rest;
-		for (std::size_t size = eventSize(left); 0 < size; size = eventSize(left))
+		std::string_view remaining = _splitter.rest;
+		for (std::size_t size = eventSize(remaining); 0 < size; size = eventSize(remaining))
 		{
-			events.push_back({idOf(left.substr(0, size)), std::string(left.substr(0, size))});
-			left.remove_prefix(size);
+			events.push_back({idOf(remaining.substr(0, size)), std::string(remaining.substr(0, size))});
+			remaining.remove_prefix(size);
 		}
-		_splitter.rest = std::string(left);
+		_splitter.rest = std::string(remaining);
 		return events;
 	}
 
--- a/src/decide/fields.cpp
+++ b/src/decide/fields.cpp
@@ -14,8 +14,8 @@
 			return 1 + std::size_t(std::count(_text.begin(), _text.begin() + std::ptrdiff_t(end), '\n'));
 		}
 
-		/// Finds doubled fields while parsing.
-		class DoubledFields
+		/// Detects duplicate fields while parsing.
+		class DuplicateFields
 		{
 		public:
 			bool operator()(int _depth, Json::parse_event_t _event, Json& _parsed)
@@ -42,7 +42,7 @@
 			std::vector<std::set<std::string>> names;
 		};
 
-		std::string shown(const Json& _value)
+		std::string preview(const Json& _value)
 		{
 			constexpr std::size_t kShownBytes = 60;
 			std::string text = _value.dump(-1, ' ', false, Json::error_handler_t::replace);
@@ -57,19 +57,19 @@
 
 	Json parseJson(const std::string& _source, std::string_view _text)
 	{
-		DoubledFields doubled;
+		DuplicateFields duplicates;
 		Json value;
 		try
 		{
-			value = Json::parse(_text, std::ref(doubled), true, true);
+			value = Json::parse(_text, std::ref(duplicates), true, true);
 		}
 		catch (const Json::parse_error& error)
 		{
 			throw InvalidInputError(_source, {{"line " + std::to_string(lineOf(_text, error.byte)), "text that is not JSON (" + std::string(error.what()) + ")", "correct the syntax there or just before"}});
 		}
-		if (!doubled.problems.empty())
+		if (!duplicates.problems.empty())
 		{
-			throw InvalidInputError(_source, doubled.problems);
+			throw InvalidInputError(_source, duplicates.problems);
 		}
 		return value;
 	}
@@ -81,7 +81,7 @@
 	{
 		if (!this->value.is_object())
 		{
-			this->problems.push_back({this->path.empty() ? "the whole text" : this->path, shown(this->value), "write an object in braces"});
+			this->problems.push_back({this->path.empty() ? "the whole text" : this->path, preview(this->value), "write an object in braces"});
 		}
 	}
 
@@ -97,7 +97,7 @@
 
 	const Json* ObjectReader::find(const std::string& _name, bool _required, const char* _expected)
 	{
-		this->asked.insert(_name);
+		this->knownFields.insert(_name);
 		if (!this->value.is_object())
 		{
 			return nullptr;
@@ -116,14 +116,14 @@
 
 	std::string ObjectReader::text(const std::string& _name, std::size_t _maxBytes)
 	{
-		const Json* found = this->find(_name, true, "a text");
+		const Json* found = this->find(_name, true, "a string");
 		if (nullptr == found)
 		{
 			return "";
 		}
 		if (!found->is_string() || found->get_ref<const std::string&>().empty() || found->get_ref<const std::string&>().size() > _maxBytes)
 		{
-			this->problem(_name, shown(*found), "write a text of 1 to " + std::to_string(_maxBytes) + " bytes");
+			this->problem(_name, preview(*found), "write a string of 1 to " + std::to_string(_maxBytes) + " bytes");
 			return "";
 		}
 		return found->get<std::string>();
@@ -131,9 +131,9 @@
 
 	std::string ObjectReader::textOr(const std::string& _name, const std::string& _default)
 	{
-		const bool there = this->value.is_object() && this->value.contains(_name);
-		this->asked.insert(_name);
-		return there ? this->text(_name) : _default;
+		const bool isPresent = this->value.is_object() && this->value.contains(_name);
+		this->knownFields.insert(_name);
+		return isPresent ? this->text(_name) : _default;
 	}
 
 	double ObjectReader::number(const std::string& _name, double _min, double _max)
@@ -145,7 +145,7 @@
 		}
 		if (!found->is_number() || found->get<double>() < _min || found->get<double>() > _max)
 		{
-			this->problem(_name, shown(*found), rangeText(_min, _max));
+			this->problem(_name, preview(*found), rangeText(_min, _max));
 			return _min;
 		}
 		return found->get<double>();
@@ -165,7 +165,7 @@
 		}
 		if (!found->is_number_integer() || found->get<std::int64_t>() < _min || found->get<std::int64_t>() > _max)
 		{
-			this->problem(_name, shown(*found), "write a whole number from " + std::to_string(_min) + " to " + std::to_string(_max));
+			this->problem(_name, preview(*found), "write a whole number from " + std::to_string(_min) + " to " + std::to_string(_max));
 			return _min;
 		}
 		return found->get<std::int64_t>();
@@ -205,7 +205,7 @@
 		}
 		if (!found->is_boolean())
 		{
-			this->problem(_name, shown(*found), "write true or false");
+			this->problem(_name, preview(*found), "write true or false");
 			return _default;
 		}
 		return found->get<bool>();
@@ -221,14 +221,14 @@
 		}
 		if (!found->is_array())
 		{
-			this->problem(_name, shown(*found), "write a list of texts");
+			this->problem(_name, preview(*found), "write a list of strings");
 			return result;
 		}
 		for (const Json& item : *found)
 		{
 			if (!item.is_string())
 			{
-				this->problem(_name + "[" + std::to_string(result.size()) + "]", shown(item), "write a text");
+				this->problem(_name + "[" + std::to_string(result.size()) + "]", preview(item), "write a string");
 				return result;
 			}
 			result.push_back(item.get<std::string>());
@@ -245,7 +245,7 @@
 		}
 		if (!found->is_array())
 		{
-			this->problem(_name, shown(*found), "write a list of objects");
+			this->problem(_name, preview(*found), "write a list of objects");
 			return;
 		}
 		std::size_t index = 0;
@@ -276,10 +276,10 @@
 		}
 		for (const auto& [name, item] : this->value.items())
 		{
-			if (!this->asked.contains(name))
+			if (!this->knownFields.contains(name))
 			{
 				std::string known;
-				for (const std::string& field : this->asked)
+				for (const std::string& field : this->knownFields)
 				{
 					known += (known.empty() ? "" : ", ") + field;
 				}
--- a/src/decide/lease.cpp
+++ b/src/decide/lease.cpp
@@ -6,7 +6,7 @@
 {
 	namespace
 	{
-		void look(LeaseView& _view, const std::optional<LeaseRow>& _row, Millis _now)
+		void updateSeen(LeaseView& _view, const std::optional<LeaseRow>& _row, Millis _now)
 		{
 			if (_view.seen != _row)
 			{
@@ -18,7 +18,7 @@
 
 	LeaseStep decideLease(LeaseView& _view, const std::optional<LeaseRow>& _row, Millis _now)
 	{
-		look(_view, _row, _now);
+		updateSeen(_view, _row, _now);
 		if (!_row)
 		{
 			return {true, {_view.self, 1, 1}};
@@ -29,8 +29,8 @@
 		}
 		_view.actUntil = 0;
 		const bool free = 0 == _row->holder;
-		const bool lapsed = kLeaseMs <= _now - _view.seenSince;
-		if (free || lapsed)
+		const bool expired = kLeaseMs <= _now - _view.seenSince;
+		if (free || expired)
 		{
 			return {true, {_view.self, _row->fence + 1, _row->renewal + 1}};
 		}
@@ -39,7 +39,7 @@
 
 	void leaseWritten(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now)
 	{
-		look(_view, _row, _now);
+		updateSeen(_view, _row, _now);
 		_view.actUntil = _view.self == _row.holder ? _begunAt + kLeaseActMs : 0;
 	}
 
--- a/src/decide/ledger.cpp
+++ b/src/decide/ledger.cpp
@@ -150,8 +150,8 @@
 		{
 			return RevokeState::Unknown;
 		}
-		// A copy of the dispatch may still be under way on an older connection, so the
-		// floor rises before anything is proved. A revoke that is itself old proves nothing.
+		// A copy of the dispatch may still be in flight on an older connection, so the session floor is
+		// raised before anything is proved. A revoke on an old session proves nothing.
 		if (!openSession(_ledger, _session, _now))
 		{
 			return RevokeState::Unknown;
--- a/src/decide/relay_tree.cpp
+++ b/src/decide/relay_tree.cpp
@@ -7,16 +7,16 @@
 {
 	namespace
 	{
-		/// @returns Relays for so many ranks of one zone.
+		/// @returns Number of relays for the ranks of one zone.
 		std::size_t relaysFor(std::size_t _ranks, std::size_t _zones)
 		{
 			const std::size_t needed = (_ranks + kTreeFanOut - 1) / kTreeFanOut;
-			// With many zones the coordinator's own fan-out counts: one a zone is the least.
-			const std::size_t spare = _zones * kRelaysPerZone <= kTreeFanOut ? kRelaysPerZone : 1;
-			return std::max(needed, spare);
+			// With many zones the coordinator's own fan-out is the limit, and one relay per zone is the minimum.
+			const std::size_t redundant = _zones * kRelaysPerZone <= kTreeFanOut ? kRelaysPerZone : 1;
+			return std::max(needed, redundant);
 		}
 
-		TreeBranch everybody(const std::vector<TreeMember>& _members)
+		TreeBranch singleBranch(const std::vector<TreeMember>& _members)
 		{
 			TreeBranch branch;
 			for (std::size_t index = 0; index < _members.size(); ++index)
@@ -26,7 +26,7 @@
 			return branch;
 		}
 
-		/// @returns The members of a zone, those to be relays first.
+		/// @returns The members of a zone, preferred relays first.
 		std::vector<std::size_t> byDoubt(const std::vector<TreeMember>& _members, std::vector<std::size_t> _zone)
 		{
 			std::stable_sort(_zone.begin(), _zone.end(), [&](std::size_t _a, std::size_t _b) {
@@ -40,7 +40,7 @@
 	{
 		if (_members.size() <= kTreeFanOut)
 		{
-			return {everybody(_members)};
+			return {singleBranch(_members)};
 		}
 		std::map<std::string, std::vector<std::size_t>> zones;
 		for (std::size_t index = 0; index < _members.size(); ++index)
@@ -53,13 +53,13 @@
 			const std::size_t relays = std::min(ranks.size(), relaysFor(ranks.size(), zones.size()));
 			const std::size_t first = tree.size();
 			const std::vector<std::size_t> ordered = byDoubt(_members, ranks);
-			for (std::size_t place = 0; place < ordered.size(); ++place)
+			for (std::size_t position = 0; position < ordered.size(); ++position)
 			{
-				if (place < relays)
+				if (position < relays)
 				{
-					tree.push_back({ordered[place], {}});
+					tree.push_back({ordered[position], {}});
 				}
-				tree[first + place % relays].members.push_back(ordered[place]);
+				tree[first + position % relays].members.push_back(ordered[position]);
 			}
 		}
 		return tree;
--- a/src/decide/text_difference.cpp
+++ b/src/decide/text_difference.cpp
@@ -10,41 +10,41 @@
 {
 	namespace
 	{
-		/// Length of the blocks by which common pieces are found, bytes.
+		/// Length of the blocks by which common ranges are found.
 		constexpr std::size_t kBlockBytes = 32;
-		/// Longest text that is made of a difference, bytes: a foreign one must not fill the memory.
-		constexpr std::uint64_t kMostBytes = 64'000'000;
-		constexpr unsigned kGroupBits = 7; ///< Of a number, in each of its bytes.
-		constexpr unsigned char kMoreBytes = 0x80;
+		/// Maximum size of a result, so that a malformed delta can't exhaust the memory.
+		constexpr std::uint64_t kMaxTargetBytes = 64'000'000;
+		constexpr unsigned kGroupBits = 7; ///< Bits of a variable-length number per byte.
+		constexpr unsigned char kContinuationBit = 0x80;
 		constexpr std::size_t kHashBytes = sizeof(std::uint64_t);
 
-		/// A piece that both texts have.
-		struct CommonPiece
+		/// A range that both texts have in common.
+		struct CommonRange
 		{
 			std::size_t inBase = 0;
 			std::size_t inTarget = 0;
-			std::size_t length = 0; ///< 0: none.
+			std::size_t length = 0; ///< 0: no range.
 		};
 
 		void appendNumber(std::string& _out, std::uint64_t _number)
 		{
-			while (kMoreBytes <= _number)
+			while (kContinuationBit <= _number)
 			{
-				_out += char((_number & (kMoreBytes - 1U)) | kMoreBytes);
+				_out += char((_number & (kContinuationBit - 1U)) | kContinuationBit);
 				_number >>= kGroupBits;
 			}
 			_out += char(_number);
 		}
 
-		std::optional<std::uint64_t> takeNumber(std::string_view& _in)
+		std::optional<std::uint64_t> readNumber(std::string_view& _in)
 		{
 			std::uint64_t number = 0;
 			for (unsigned shift = 0; shift < 64 && !_in.empty(); shift += kGroupBits)
 			{
 				const auto byte = static_cast<unsigned char>(_in.front());
 				_in.remove_prefix(1);
-				number |= std::uint64_t(byte & (kMoreBytes - 1U)) << shift;
-				if (0 == (byte & kMoreBytes))
+				number |= std::uint64_t(byte & (kContinuationBit - 1U)) << shift;
+				if (0 == (byte & kContinuationBit))
 				{
 					return number;
 				}
@@ -52,7 +52,7 @@
 			return std::nullopt;
 		}
 
-		/// The hash of a text, in an order of bytes that all machines share.
+		/// @returns The hash of a text in canonical byte order.
 		std::string hashOf(std::string_view _text)
 		{
 			const XXH64_hash_t hash = XXH64(_text.data(), _text.size(), 0);
@@ -63,7 +63,7 @@
 
 		using Blocks = absl::flat_hash_map<absl::string_view, std::size_t>;
 
-		Blocks blocksOf(std::string_view _base)
+		Blocks indexBlocks(std::string_view _base)
 		{
 			Blocks blocks;
 			for (std::size_t offset = 0; offset + kBlockBytes <= _base.size(); offset += kBlockBytes)
@@ -73,8 +73,8 @@
 			return blocks;
 		}
 
-		/// Extends a common block to both sides, but not before _from in the target.
-		CommonPiece extended(std::string_view _base, std::string_view _target, CommonPiece _block, std::size_t _from)
+		/// Extends a common block in both directions, but not before _from in the target.
+		CommonRange extendRange(std::string_view _base, std::string_view _target, CommonRange _block, std::size_t _from)
 		{
 			while (_from < _block.inTarget && 0 < _block.inBase && _base[_block.inBase - 1] == _target[_block.inTarget - 1])
 			{
@@ -91,15 +91,15 @@
 			return _block;
 		}
 
-		/// @returns The next common piece of the target from an offset on.
-		CommonPiece nextPiece(const Blocks& _blocks, std::string_view _base, std::string_view _target, std::size_t _from)
+		/// @returns The next common range at or after an offset of the target.
+		CommonRange findNextRange(const Blocks& _blocks, std::string_view _base, std::string_view _target, std::size_t _from)
 		{
 			for (std::size_t at = _from; at + kBlockBytes <= _target.size(); ++at)
 			{
 				const auto found = _blocks.find(asAbsl(_target.substr(at, kBlockBytes)));
 				if (_blocks.end() != found)
 				{
-					return extended(_base, _target, {found->second, at, kBlockBytes}, _from);
+					return extendRange(_base, _target, {found->second, at, kBlockBytes}, _from);
 				}
 			}
 			return {0, _target.size(), 0};
@@ -109,17 +109,17 @@
 	std::string differenceBetween(std::string_view _base, std::string_view _target)
 	{
 		std::string difference = hashOf(_target);
-		const Blocks blocks = blocksOf(_base);
+		const Blocks blocks = indexBlocks(_base);
 		std::size_t at = 0;
 		while (at < _target.size())
 		{
-			const CommonPiece piece = nextPiece(blocks, _base, _target, at);
-			const std::string_view fresh = _target.substr(at, piece.inTarget - at);
-			appendNumber(difference, fresh.size());
-			difference += fresh;
-			appendNumber(difference, piece.inBase);
-			appendNumber(difference, piece.length);
-			at = piece.inTarget + piece.length;
+			const CommonRange range = findNextRange(blocks, _base, _target, at);
+			const std::string_view literal = _target.substr(at, range.inTarget - at);
+			appendNumber(difference, literal.size());
+			difference += literal;
+			appendNumber(difference, range.inBase);
+			appendNumber(difference, range.length);
+			at = range.inTarget + range.length;
 		}
 		return difference;
 	}
@@ -135,16 +135,16 @@
 		std::string target;
 		while (!_difference.empty())
 		{
-			const std::optional<std::uint64_t> fresh = takeNumber(_difference);
-			if (!fresh || *fresh > _difference.size())
+			const std::optional<std::uint64_t> literal = readNumber(_difference);
+			if (!literal || *literal > _difference.size())
 			{
 				return std::nullopt;
 			}
-			target += _difference.substr(0, *fresh);
-			_difference.remove_prefix(*fresh);
-			const std::optional<std::uint64_t> from = takeNumber(_difference);
-			const std::optional<std::uint64_t> length = takeNumber(_difference);
-			const bool fits = from && length && *from <= _base.size() && *length <= _base.size() - *from && target.size() + *length <= kMostBytes;
+			target += _difference.substr(0, *literal);
+			_difference.remove_prefix(*literal);
+			const std::optional<std::uint64_t> from = readNumber(_difference);
+			const std::optional<std::uint64_t> length = readNumber(_difference);
+			const bool fits = from && length && *from <= _base.size() && *length <= _base.size() - *from && target.size() + *length <= kMaxTargetBytes;
 			if (!fits)
 			{
 				return std::nullopt;
