--- a/tests/test_acceptance.cpp
+++ b/tests/test_acceptance.cpp
@@ -1,4 +1,4 @@
-/// Configuration versions never go back, and are accepted only when all zones hold them.
+/// Configuration versions never decrease and are accepted only when all zones have confirmed them.
 #include "archdyke/acceptance.h"
 #include "check.h"
 
@@ -21,7 +21,7 @@
 	cr_assert((std::vector<std::string>{"b", "c"}) == view.missing);
 }
 
-Test(acceptance, lost_move_is_settled_by_the_row)
+Test(acceptance, lost_head_update_is_resolved_by_the_row)
 {
 	const StageRow stage{{4, "d"}, "mine"};
 	cr_assert(!settleMove(stage, std::nullopt));
@@ -29,7 +29,7 @@
 	cr_assert(ApplyEnd::Conflict == settleMove(stage, "other"));
 }
 
-Test(acceptance, head_is_the_highest_ever_heard)
+Test(acceptance, head_is_the_highest_version_received)
 {
 	tests::checkProperty("held configuration against a maximum", [] {
 		HeldConfig held;
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -1,4 +1,4 @@
-/// The queue of an agent: bounds, fairness, early refusal.
+/// Admission queue of an agent: bounds, fairness and early refusal.
 #include <map>
 
 #include "archdyke/admission.h"
@@ -33,7 +33,7 @@
 	cr_assert(0 < result.retryAfterMs);
 }
 
-Test(admission, a_flood_gives_up_places_to_the_small)
+Test(admission, a_full_queue_evicts_runs_of_the_largest_organisation)
 {
 	Admission admission = queue(1, 10);
 	for (int index = 0; index < 10; ++index)
@@ -64,7 +64,7 @@
 	cr_assert(59 <= served["heavy"] && served["heavy"] <= 61, "heavy got %d of 80", served["heavy"]);
 }
 
-Test(admission, expired_runs_are_given_back)
+Test(admission, expired_runs_are_returned)
 {
 	Admission admission = queue(1, 10);
 	admission.meanRunMs = 1.0;
@@ -76,11 +76,11 @@
 	cr_assert(0 == admission.queued);
 }
 
-/// Naive version: one list, searched anew for the organisation whose next run starts first
-/// in virtual time.
+/// Reference model: a list that is searched for the organisation whose next run has the smallest
+/// virtual start time.
 namespace
 {
-	struct NaiveQueue
+	struct ReferenceQueue
 	{
 		std::vector<QueuedRun> waiting;
 		std::map<std::string, double> finish;
@@ -114,11 +114,11 @@
 	};
 } // namespace
 
-Test(admission, same_order_as_naive_fair_queue)
+Test(admission, matches_the_reference_fair_queue)
 {
 	tests::checkProperty("fair queue against a list", [] {
 		Admission admission = queue(1, 1000);
-		NaiveQueue naive;
+		ReferenceQueue reference;
 		const int steps = *rc::gen::inRange(1, 80);
 		for (int index = 0; index < steps; ++index)
 		{
@@ -128,16 +128,16 @@
 				const std::uint32_t weight = "a" == organisation ? 3 : 1;
 				const QueuedRun item = run(std::to_string(index), organisation, weight);
 				RC_ASSERT(RefusalReason::None == admitRun(admission, item, 0).refusal);
-				naive.waiting.push_back(item);
+				reference.waiting.push_back(item);
 			}
-			else if (!naive.waiting.empty())
+			else if (!reference.waiting.empty())
 			{
 				const TakeResult result = takeRun(admission, 0);
 				RC_ASSERT(result.next.has_value());
-				RC_ASSERT(result.next->key.requestId == naive.take());
+				RC_ASSERT(result.next->key.requestId == reference.take());
 				endRun(admission, 10);
 			}
-			RC_ASSERT(admission.queued == naive.waiting.size());
+			RC_ASSERT(admission.queued == reference.waiting.size());
 		}
 	});
 }
--- a/tests/test_back_off.cpp
+++ b/tests/test_back_off.cpp
@@ -1,4 +1,4 @@
-/// How long an upstream wants nothing, as it said itself.
+/// Back-off requested by upstreams.
 #include "archdyke/back_off.h"
 #include "archdyke/come_back.h"
 
@@ -6,7 +6,7 @@
 
 using namespace archdyke;
 
-Test(backoff, an_upstream_is_left_alone_for_as_long_as_it_asked)
+Test(backoff, an_upstream_gets_no_requests_for_the_requested_time)
 {
 	BackOff backOff;
 	cr_assert(0 == backOffLeftMs(backOff, 0));
@@ -14,18 +14,18 @@
 	cr_assert(3'000 == backOffLeftMs(backOff, 100) && 1 == backOffLeftMs(backOff, 3'099) && 0 == backOffLeftMs(backOff, 3'100));
 }
 
-Test(backoff, a_shorter_time_that_is_asked_for_later_ends_nothing)
+Test(backoff, a_later_shorter_request_does_not_shorten_a_back_off)
 {
 	BackOff backOff;
 	noteBackOff(backOff, 3'000, 0);
-	cr_assert(!noteBackOff(backOff, 500, 1'000), "one was under way");
+	cr_assert(!noteBackOff(backOff, 500, 1'000), "a back-off was active");
 	cr_assert(2'000 == backOffLeftMs(backOff, 1'000));
 	cr_assert(!noteBackOff(backOff, 3'000, 1'000));
 	cr_assert(3'000 == backOffLeftMs(backOff, 1'000), "a longer one counts");
 	cr_assert(noteBackOff(backOff, 100, 9'000), "the first one is over");
 }
 
-Test(backoff, no_slip_in_a_header_takes_an_upstream_away_for_good)
+Test(backoff, a_wrong_header_does_not_exclude_an_upstream_for_good)
 {
 	BackOff backOff;
 	noteBackOff(backOff, 31'536'000'000, 0);
@@ -35,23 +35,23 @@
 	cr_assert(0 == backOffLeftMs(before, 7));
 }
 
-/// Load pattern: callers that were refused together come back when the first upstream takes requests again.
-Test(backoff, callers_are_told_to_come_once_the_first_upstream_wants_requests)
+/// Callers that were refused together retry when the first upstream accepts requests again.
+Test(backoff, retry_delay_ends_when_the_first_upstream_accepts_requests)
 {
 	Random random(1);
 	Millis first = 10'000;
 	Millis last = 0;
 	for (int caller = 0; caller < 200; ++caller)
 	{
-		const Millis told = comeBackAfter(RefusalCause::BackOff, 2'000, 30'000, random);
-		first = std::min(first, told);
-		last = std::max(last, told);
+		const Millis delay = comeBackAfter(RefusalCause::BackOff, 2'000, 30'000, random);
+		first = std::min(first, delay);
+		last = std::max(last, delay);
 	}
 	cr_assert(2'000 <= first && last <= 2'500 && 300 < last - first, "%lld to %lld ms", (long long)first, (long long)last);
-	cr_assert(500 == comeBackAfter(RefusalCause::BackOff, 2'000, 1'500, random), "callers keep to no more than a third of what they have left");
+	cr_assert(500 == comeBackAfter(RefusalCause::BackOff, 2'000, 1'500, random), "callers honour at most a third of their remaining time");
 }
 
-Test(backoff, a_time_that_cant_be_read_is_none)
+Test(backoff, an_unreadable_delay_is_none)
 {
 	cr_assert(3'000 == parseBackOff("3") && 250 == parseBackOff("0.25") && 0 == parseBackOff("0"));
 	cr_assert(!parseBackOff("soon") && !parseBackOff("-1") && !parseBackOff("nan") && !parseBackOff(""));
--- a/tests/test_cold_share.cpp
+++ b/tests/test_cold_share.cpp
@@ -1,4 +1,4 @@
-/// Upstreams that come back cold while callers wait: what all gateways together send to one.
+/// Cold upstreams that restart while callers wait: the total that all gateways send to each of them.
 #include "archdyke/cold_share.h"
 #include "archdyke/resend_share.h"
 
@@ -13,23 +13,23 @@
 namespace
 {
 	constexpr std::size_t kUpstreams = 24;
-	constexpr double kBornePerS = 18.0;
-	constexpr double kMostPerS = 18.0 * 1.5 + 5.0;
-	constexpr Millis kTellMs = 100;
+	constexpr double kSustainedPerS = 18.0;
+	constexpr double kPeakPerS = 18.0 * 1.5 + 5.0;
+	constexpr Millis kReportIntervalMs = 100;
 	constexpr Millis kStepMs = 10;
-	constexpr Millis kToldWindowMs = 10'000;
-	/// Longest wait for a connection, ms: a send arrives that much later than it was decided.
-	constexpr Millis kMostConnectMs = 400;
+	constexpr Millis kCountWindowMs = 10'000;
+	/// Maximum connect time: a send arrives up to this much later than it was decided.
+	constexpr Millis kMaxConnectMs = 400;
 
 	struct Gateway
 	{
 		std::string name;
 		ResendShare told;
 		std::vector<ColdState> states = std::vector<ColdState>(kUpstreams);
-		bool cut = false; ///< Nobody tells it their number, and nobody counts it; it reaches the upstreams.
+		bool partitioned = false; ///< Partitioned from the coordinators: gets no gateway counts and isn't counted, but reaches the upstreams.
 	};
 
-	/// Gateways that all have more callers than they may send to upstreams that turned cold together.
+	/// Gateways with more callers than they may send to upstreams that became cold together.
 	class Flood
 	{
 	public:
@@ -51,9 +51,9 @@
 		{
 			for (const Millis until = this->now + _forMs; this->now < until; this->now += kStepMs)
 			{
-				if (0 == this->now % kTellMs)
+				if (0 == this->now % kReportIntervalMs)
 				{
-					this->tell();
+					this->reportCount();
 				}
 				for (Gateway& gateway : this->gateways)
 				{
@@ -62,7 +62,7 @@
 			}
 		}
 
-		/// Restarts of all: they forget what they were told and what they sent.
+		/// Restarts all gateways, which lose the reported counts and their send history.
 		void restartAll()
 		{
 			for (Gateway& gateway : this->gateways)
@@ -73,8 +73,8 @@
 			this->startedAt = this->now;
 		}
 
-		/// @returns The most arrivals at one upstream in any second.
-		std::size_t most()
+		/// @returns Maximum number of arrivals at one upstream in any second.
+		std::size_t maxArrivalsPerS()
 		{
 			std::size_t result = 0;
 			for (std::vector<Millis>& times : this->arrivals)
@@ -92,8 +92,8 @@
 			return result;
 		}
 
-		/// @returns Arrivals at all upstreams within some time.
-		std::size_t arrived(Millis _from, Millis _to) const
+		/// @returns Arrivals at all upstreams in [_from, _to).
+		std::size_t arrivalsBetween(Millis _from, Millis _to) const
 		{
 			std::size_t result = 0;
 			for (const std::vector<Millis>& times : this->arrivals)
@@ -110,35 +110,35 @@
 		std::vector<Gateway> gateways;
 
 	private:
-		/// Upstreams of all services: as many as there are gateways, and at least those that are cold.
-		std::size_t listed() const
+		/// @returns Number of upstreams of all services: as many as gateways, and at least the cold ones.
+		std::size_t upstreamCount() const
 		{
 			return std::max(kUpstreams, this->gateways.size());
 		}
 
-		/// After a restart of all, coordinators hear of ever more of them within a second.
-		void tell()
+		/// Reports the gateway count. After a restart of all gateways, coordinators discover them within a second.
+		void reportCount()
 		{
-			const auto heard = std::size_t(std::count_if(this->gateways.begin(), this->gateways.end(), [](const Gateway& _gateway) {
-				return !_gateway.cut;
+			const auto reachable = std::size_t(std::count_if(this->gateways.begin(), this->gateways.end(), [](const Gateway& _gateway) {
+				return !_gateway.partitioned;
 			}));
-			const double part = std::min(1.0, double(this->now - this->startedAt + kTellMs) / 1'000.0);
+			const double discoveredShare = std::min(1.0, double(this->now - this->startedAt + kReportIntervalMs) / 1'000.0);
 			for (Gateway& gateway : this->gateways)
 			{
-				if (!gateway.cut)
+				if (!gateway.partitioned)
 				{
-					noteGateways(gateway.told, std::max(1U, std::uint32_t(part * double(heard))), kToldWindowMs, this->now);
+					noteGateways(gateway.told, std::max(1U, std::uint32_t(discoveredShare * double(reachable))), kCountWindowMs, this->now);
 				}
 			}
 		}
 
 		void send(Gateway& _gateway)
 		{
-			const std::uint32_t count = gatewaysAssumed(_gateway.told, this->listed(), kToldWindowMs, this->now);
-			if (count != this->sharedBy)
+			const std::uint32_t count = gatewaysAssumed(_gateway.told, this->upstreamCount(), kCountWindowMs, this->now);
+			if (count != this->shareCount)
 			{
-				this->share = coldShareOf({kBornePerS, kMostPerS, count});
-				this->sharedBy = count;
+				this->share = coldShareOf({kSustainedPerS, kPeakPerS, count});
+				this->shareCount = count;
 			}
 			for (std::size_t index = 0; index < kUpstreams; ++index)
 			{
@@ -146,33 +146,33 @@
 				while (maySendCold(state, sendsInWindow(this->share, _gateway.name, this->upstreams[index]), this->now))
 				{
 					noteColdSend(state, this->now);
-					this->arrivals[index].push_back(this->now + Millis(this->random() % (kMostConnectMs + 1)));
+					this->arrivals[index].push_back(this->now + Millis(this->random() % (kMaxConnectMs + 1)));
 				}
 			}
 		}
 
 		Millis startedAt = 0;
-		std::uint32_t sharedBy = 0;
+		std::uint32_t shareCount = 0;
 		ColdShare share;
 		std::vector<std::string> upstreams;
 		std::vector<std::vector<Millis>> arrivals = std::vector<std::vector<Millis>>(kUpstreams);
 	};
 
-	/// Cuts the first gateways off from those that tell the number, or no longer.
-	void setCut(Flood& _flood, std::size_t _first, bool _cut)
+	/// Partitions the first gateways from the coordinators, or ends the partition.
+	void setPartitioned(Flood& _flood, std::size_t _first, bool _partitioned)
 	{
 		std::for_each_n(_flood.gateways.begin(), _first, [&](Gateway& _gateway) {
-			_gateway.cut = _cut;
+			_gateway.partitioned = _partitioned;
 		});
 	}
 
-	void expectBorne(Flood& _flood)
+	void expectBelowPeak(Flood& _flood)
 	{
-		cr_assert(double(_flood.most()) <= kMostPerS, "%zu in a second of %zu gateways", _flood.most(), _flood.gateways.size());
+		cr_assert(double(_flood.maxArrivalsPerS()) <= kPeakPerS, "%zu in a second of %zu gateways", _flood.maxArrivalsPerS(), _flood.gateways.size());
 	}
 } // namespace
 
-Test(cold_share, no_second_of_a_flood_brings_more_than_an_upstream_survives)
+Test(cold_share, arrivals_in_any_second_stay_below_the_peak_rate)
 {
 	for (const std::size_t count : {1, 2, 16, 17, 25, 36, 100, 300})
 	{
@@ -180,26 +180,26 @@
 		{
 			Flood flood(count, seed);
 			flood.run(5'000);
-			cr_assert(double(flood.most()) <= kMostPerS, "%zu in a second of %zu gateways, seed %d", flood.most(), count, int(seed));
+			cr_assert(double(flood.maxArrivalsPerS()) <= kPeakPerS, "%zu in a second of %zu gateways, seed %d", flood.maxArrivalsPerS(), count, int(seed));
 		}
 	}
 }
 
-Test(cold_share, those_that_are_cut_off_send_no_more_than_before)
+Test(cold_share, partitioned_gateways_send_no_more_than_before)
 {
 	for (const std::size_t count : {16, 36, 100, 300})
 	{
 		Flood flood(count, 7);
 		flood.run(3'000);
-		setCut(flood, count / 3, true);
+		setPartitioned(flood, count / 3, true);
 		flood.run(15'000);
-		setCut(flood, count, false);
+		setPartitioned(flood, count, false);
 		flood.run(4'000);
-		expectBorne(flood);
+		expectBelowPeak(flood);
 	}
 }
 
-Test(cold_share, a_restart_of_all_gateways_brings_no_more)
+Test(cold_share, a_restart_of_all_gateways_stays_below_the_peak_rate)
 {
 	for (const std::size_t count : {16, 36, 100, 300})
 	{
@@ -209,57 +209,57 @@
 		flood.run(5'000);
 		flood.restartAll();
 		flood.run(5'000);
-		expectBorne(flood);
+		expectBelowPeak(flood);
 	}
 }
 
-/// Less than upstreams bear is sent for two reasons: a window is longer than a second, and hashes scatter.
-Test(cold_share, a_flood_gets_most_of_what_cold_upstreams_bear)
+/// Less than the sustained rate is sent since a window is longer than a second and the number of selected gateways varies.
+Test(cold_share, a_flood_gets_most_of_the_sustained_rate)
 {
 	for (const std::size_t count : {16, 36, 100, 300})
 	{
 		Flood flood(count, 3);
 		flood.run(8'000);
-		const double perS = double(flood.arrived(13'000, 17'000)) / 4.0;
-		cr_assert(0.45 * kBornePerS * double(kUpstreams) < perS, "%.0f a second of %zu gateways", perS, count);
-		cr_assert(36 != count || 0.65 * kBornePerS * double(kUpstreams) < perS, "%.0f a second", perS);
+		const double perS = double(flood.arrivalsBetween(13'000, 17'000)) / 4.0;
+		cr_assert(0.45 * kSustainedPerS * double(kUpstreams) < perS, "%.0f a second of %zu gateways", perS, count);
+		cr_assert(36 != count || 0.65 * kSustainedPerS * double(kUpstreams) < perS, "%.0f a second", perS);
 	}
 }
 
-/// Gateways and upstreams were restarted together: what was refused for as long as nobody told their number
-/// was 1,900 requests in 2.5 s.
-Test(cold_share, a_flood_is_served_in_part_while_nobody_tells_the_number_of_gateways)
+/// Gateways and upstreams restart together: 1,900 requests were refused in the 2.5 s in which no gateway count
+/// was reported.
+Test(cold_share, a_flood_is_partly_served_while_no_gateway_count_is_reported)
 {
 	for (const std::size_t count : {36, 100, 300})
 	{
 		Flood flood(count, 5);
-		setCut(flood, count, true);
+		setPartitioned(flood, count, true);
 		flood.run(4'000);
-		const double perS = double(flood.arrived(11'000, 13'000)) / 2.0;
-		expectBorne(flood);
-		cr_assert(0.1 * kBornePerS * double(kUpstreams) < perS, "%.0f a second of %zu gateways", perS, count);
+		const double perS = double(flood.arrivalsBetween(11'000, 13'000)) / 2.0;
+		expectBelowPeak(flood);
+		cr_assert(0.1 * kSustainedPerS * double(kUpstreams) < perS, "%.0f a second of %zu gateways", perS, count);
 	}
 }
 
-Test(cold_share, more_gateways_are_assumed_than_upstreams_suggest_until_their_number_is_steady)
+Test(cold_share, gateway_estimate_is_high_until_the_reported_count_is_steady)
 {
 	ResendShare told;
-	cr_assert(128 == gatewaysAssumed(told, 7, kToldWindowMs, 1'000));
-	cr_assert(158 == gatewaysAssumed(told, 79, kToldWindowMs, 1'000));
-	cr_assert(kMostGateways == gatewaysAssumed(told, 5'000, kToldWindowMs, 1'000));
-	noteGateways(told, 200, kToldWindowMs, 1'000);
-	cr_assert(200 == gatewaysAssumed(told, 79, kToldWindowMs, 1'000));
-	for (Millis now = 1'100; now <= 14'000; now += kTellMs)
+	cr_assert(128 == gatewaysAssumed(told, 7, kCountWindowMs, 1'000));
+	cr_assert(158 == gatewaysAssumed(told, 79, kCountWindowMs, 1'000));
+	cr_assert(kMostGateways == gatewaysAssumed(told, 5'000, kCountWindowMs, 1'000));
+	noteGateways(told, 200, kCountWindowMs, 1'000);
+	cr_assert(200 == gatewaysAssumed(told, 79, kCountWindowMs, 1'000));
+	for (Millis now = 1'100; now <= 14'000; now += kReportIntervalMs)
 	{
-		noteGateways(told, 36, kToldWindowMs, now);
+		noteGateways(told, 36, kCountWindowMs, now);
 	}
-	cr_assert(36 == gatewaysAssumed(told, 79, kToldWindowMs, 14'000));
-	cr_assert(158 == gatewaysAssumed(told, 79, kToldWindowMs, 17'000));
+	cr_assert(36 == gatewaysAssumed(told, 79, kCountWindowMs, 14'000));
+	cr_assert(158 == gatewaysAssumed(told, 79, kCountWindowMs, 17'000));
 }
 
-Test(cold_share, a_gateway_has_the_same_sends_after_a_restart_and_others_have_others)
+Test(cold_share, extra_sends_survive_a_restart_and_differ_between_gateways)
 {
-	const ColdShare share = coldShareOf({kBornePerS, kMostPerS, 36});
+	const ColdShare share = coldShareOf({kSustainedPerS, kPeakPerS, 36});
 	std::uint32_t both = 0;
 	std::uint32_t one = 0;
 	for (int upstream = 0; upstream < 400; ++upstream)
@@ -274,7 +274,7 @@
 	cr_assert(150 < one && one < 250 && both < one * 2 / 3, "%u, both %u", one, both);
 }
 
-Test(cold_share, a_longer_time_that_was_told_stays)
+Test(cold_share, a_shorter_cold_time_does_not_replace_a_longer_one)
 {
 	ColdState state;
 	noteCold(state, 3'000, 1'000);
--- a/tests/test_crash_blame.cpp
+++ b/tests/test_crash_blame.cpp
@@ -1,5 +1,5 @@
-/// Decisions on requests that crash upstreams, without a clock.
-// Before Criterion, whose macros break the hash headers.
+/// Requests that crash upstreams: refusal, clearing and expiry.
+// Included before Criterion, whose macros break the hash headers.
 #include "archdyke/come_back.h"
 #include "archdyke/crash_blame.h"
 
@@ -11,8 +11,8 @@
 {
 	constexpr Millis kNow = 1'000'000;
 
-	/// A request under which so many upstreams ended, a second apart; the last one now.
-	CrashTable crashed(const std::string& _request, int _upstreams)
+	/// @returns Crashes of several upstreams under one request, one second apart, the last one now.
+	CrashTable crashesUnder(const std::string& _request, int _upstreams)
 	{
 		CrashTable table;
 		for (int upstream = 0; upstream < _upstreams; ++upstream)
@@ -23,24 +23,24 @@
 	}
 } // namespace
 
-Test(crashblame, a_request_is_refused_from_its_third_upstream_on)
+Test(crashblame, a_request_is_refused_after_its_third_crashed_upstream)
 {
-	cr_assert(!refusedForMs(crashed("r", 2), "r", kNow));
-	const CrashTable table = crashed("r", 3);
+	cr_assert(!refusedForMs(crashesUnder("r", 2), "r", kNow));
+	const CrashTable table = crashesUnder("r", 3);
 	cr_assert(refusedForMs(table, "r", kNow) == kBlameMs - 2'000);
 	cr_assert(!refusedForMs(table, "another", kNow));
 }
 
-Test(crashblame, one_upstream_counts_once_whoever_tells_of_it)
+Test(crashblame, a_crash_reported_twice_counts_once)
 {
-	CrashTable table = crashed("r", 2);
+	CrashTable table = crashesUnder("r", 2);
 	cr_assert(!noteCrash(table, {"r", "u1"}, kNow));
 	cr_assert(2 == crashesOf(table, "r", kNow) && !refusedForMs(table, "r", kNow));
 }
 
-Test(crashblame, it_is_refused_until_fewer_than_three_count)
+Test(crashblame, a_request_is_refused_until_fewer_than_three_crashes_are_left)
 {
-	CrashTable table = crashed("r", 4); // 3, 2 and 1 s ago, and now
+	CrashTable table = crashesUnder("r", 4); // 3, 2 and 1 s ago, and now
 	const Millis until = kNow - 2'000 + kBlameMs;
 	cr_assert(refusedForMs(table, "r", until - 1) == 1);
 	cr_assert(!refusedForMs(table, "r", until));
@@ -50,25 +50,25 @@
 	cr_assert(table.byRequest.empty());
 }
 
-Test(crashblame, a_run_that_came_to_an_end_clears_its_request_alone)
+Test(crashblame, a_completed_run_clears_only_its_request)
 {
-	CrashTable table = crashed("r", 3);
+	CrashTable table = crashesUnder("r", 3);
 	noteCrash(table, {"s", "u0"}, kNow);
 	cr_assert(3 == clearRequest(table, "r").size());
 	cr_assert(!refusedForMs(table, "r", kNow) && 1 == crashesOf(table, "s", kNow));
 	cr_assert(clearRequest(table, "r").empty());
 }
 
-Test(crashblame, a_crash_that_somebody_removed_counts_no_longer)
+Test(crashblame, a_removed_crash_no_longer_counts)
 {
-	CrashTable table = crashed("r", 3);
+	CrashTable table = crashesUnder("r", 3);
 	dropCrash(table, {"r", "u0"});
 	dropCrash(table, {"unknown", "u0"});
 	cr_assert(!isHeld(table, {"r", "u0"}) && isHeld(table, {"r", "u1"}));
 	cr_assert(!refusedForMs(table, "r", kNow));
 }
 
-Test(crashblame, a_request_that_runs_well_now_and_then_is_known_for_one_generation_at_least)
+Test(crashblame, a_completed_request_is_remembered_for_at_least_one_generation)
 {
 	RecentRuns runs;
 	noteRun(runs, 1, kNow);
@@ -81,7 +81,7 @@
 	cr_assert(!ranLately(runs, 3, kNow + 100 * kGenerationMs));
 }
 
-Test(crashblame, a_caller_is_told_the_whole_time)
+Test(crashblame, retry_delay_covers_the_whole_refusal)
 {
 	Random random(1);
 	cr_assert(kBlameMs == comeBackAfter(RefusalCause::CrashesUpstreams, kBlameMs, 1'500, random));
--- a/tests/test_document.cpp
+++ b/tests/test_document.cpp
@@ -1,4 +1,4 @@
-/// Operators' files: every problem is found, named and has its remedy.
+/// Operators' files: each problem is reported with its location and a remedy.
 #include "archdyke/document.h"
 #include "archdyke/errors.h"
 #include "check.h"
@@ -22,7 +22,7 @@
 		}
 	}
 
-	bool names(const std::vector<Problem>& _problems, const std::string& _where)
+	bool hasProblemAt(const std::vector<Problem>& _problems, const std::string& _where)
 	{
 		return std::any_of(_problems.begin(), _problems.end(), [&](const Problem& _problem) {
 			return _where == _problem.where && !_problem.found.empty() && !_problem.remedy.empty();
@@ -30,7 +30,7 @@
 	}
 } // namespace
 
-Test(document, a_good_file_has_no_problem)
+Test(document, a_valid_file_has_no_problem)
 {
 	const std::string text = std::string("// comment\n") + kHead + R"("organisations": [], "upstreams": [{"name": "u", "service": "s", "zone": "z"}]})";
 	cr_assert(problemsOf(text).empty());
@@ -46,25 +46,25 @@
 Test(document, all_problems_are_shown_at_once)
 {
 	const std::vector<Problem> problems = problemsOf(std::string(kHead) + R"("organisations": [{"name": "A b", "keyDigest": "x", "requestsPerSecond": -1, "burst": "2"}], "upstreams": [{"name": "u", "service": "nope", "zone": "nowhere"}, {"name": "u", "service": "s", "zone": "z", "group": "g", "extra": 1}]})");
-	cr_assert(names(problems, "organisations[0].name"));
-	cr_assert(names(problems, "organisations[0].keyDigest"));
-	cr_assert(names(problems, "organisations[0].requestsPerSecond"));
-	cr_assert(names(problems, "organisations[0].burst"));
-	cr_assert(names(problems, "upstreams[0].service"));
-	cr_assert(names(problems, "upstreams[0].zone"));
-	cr_assert(names(problems, "upstreams[1].name"));
-	cr_assert(names(problems, "upstreams[1].group"));
-	cr_assert(names(problems, "upstreams[1].extra"));
+	cr_assert(hasProblemAt(problems, "organisations[0].name"));
+	cr_assert(hasProblemAt(problems, "organisations[0].keyDigest"));
+	cr_assert(hasProblemAt(problems, "organisations[0].requestsPerSecond"));
+	cr_assert(hasProblemAt(problems, "organisations[0].burst"));
+	cr_assert(hasProblemAt(problems, "upstreams[0].service"));
+	cr_assert(hasProblemAt(problems, "upstreams[0].zone"));
+	cr_assert(hasProblemAt(problems, "upstreams[1].name"));
+	cr_assert(hasProblemAt(problems, "upstreams[1].group"));
+	cr_assert(hasProblemAt(problems, "upstreams[1].extra"));
 }
 
-Test(document, doubled_fields_and_missing_ones_are_named)
+Test(document, duplicate_and_missing_fields_are_reported)
 {
-	cr_assert(names(problemsOf(R"({"office": "a", "office": "b"})"), "field \"office\""));
-	cr_assert(names(problemsOf("{}"), "office"));
-	cr_assert(names(problemsOf("[]"), "the whole text"));
+	cr_assert(hasProblemAt(problemsOf(R"({"office": "a", "office": "b"})"), "field \"office\""));
+	cr_assert(hasProblemAt(problemsOf("{}"), "office"));
+	cr_assert(hasProblemAt(problemsOf("[]"), "the whole text"));
 }
 
-Test(document, no_bytes_crash_the_parser)
+Test(document, arbitrary_input_does_not_crash_the_parser)
 {
 	tests::checkProperty("any text", [] {
 		problemsOf(*rc::gen::arbitrary<std::string>());
--- a/tests/test_evacuation.cpp
+++ b/tests/test_evacuation.cpp
@@ -1,4 +1,4 @@
-/// Which zones are evacuated while answers of the store come late, twice, whole or not at all.
+/// Evacuated zones when responses of the store are late, duplicate, full reads or missing.
 #include "archdyke/evacuation.h"
 
 #include <algorithm>
@@ -28,12 +28,12 @@
 
 	const std::vector<std::string> kZones{"north", "south"};
 	const std::string kConfiguration = "configuration";
-	const std::string kOtherKey = "mark"; ///< Of no zone, but takes a version.
+	const std::string kOtherKey = "mark"; ///< Row of no zone; its changes also increase the version.
 
-	/// The operators' table: each change writes or removes the row of a key.
+	/// History of the operators' table: each change writes or removes the row of a key.
 	struct StoreHistory
 	{
-		std::vector<EvacuationRow> changes; ///< Versions 1, 2, ... of all keys; the key stands as zone.
+		std::vector<EvacuationRow> changes; ///< Changes with versions 1, 2, ...; the key is stored as zone.
 
 		/// @returns The last change of each key in versions (_from, _upTo].
 		std::map<std::string, EvacuationRow> lastChanges(std::size_t _from, std::size_t _upTo) const
@@ -46,7 +46,7 @@
 			return last;
 		}
 
-		/// @returns What an answer of the feed, or one of the whole table, held when the store had _upTo changes.
+		/// @returns Rows in a response of the feed, or of a full read, when the store had _upTo changes.
 		std::vector<EvacuationRow> rows(std::size_t _from, std::size_t _upTo, bool _whole) const
 		{
 			std::vector<EvacuationRow> result;
@@ -61,13 +61,13 @@
 		}
 	};
 
-	/// One process that follows the table. A moment of the store is the number of changes that it had, and one.
+	/// A process that follows the table. The store's time is its number of changes plus one.
 	struct Follower
 	{
 		store::FollowedTable followed;
 		OperatorTable table;
-		store::ConfigurationProof told; ///< The latest that others told.
-		std::size_t provenAt = 0;       ///< Changes that the store had at the newest proof that holds here.
+		store::ConfigurationProof told; ///< Latest proof relayed by others.
+		std::size_t provenAt = 0;       ///< Number of changes in the store at the newest proof that is valid here.
 
 		void read(const StoreHistory& _store, std::size_t _upTo, bool _whole)
 		{
@@ -80,37 +80,37 @@
 			rows.version = _upTo;
 			rows.storeTime = Millis(_upTo) + 1;
 			store::takeRows(this->followed, rows, _whole);
-			this->act(known);
+			this->applyChanges(known);
 			this->provenAt = std::max(this->provenAt, _upTo);
 		}
 
-		/// @returns The latest proof that it knows of.
+		/// @returns The latest known proof.
 		store::ConfigurationProof proof() const
 		{
 			return std::max(this->told, store::proofOf(this->followed));
 		}
 
-		/// @param[in] _rows Whether there is room for the rows, too.
-		void takeNews(const Follower& _teller, bool _rows)
+		/// @param[in] _rows Whether the news include the rows.
+		void applyNews(const Follower& _sender, bool _rows)
 		{
 			const std::uint64_t known = this->followed.version;
 			if (_rows)
 			{
-				store::takeNews(this->followed, store::newsSince(_teller.followed, known));
-				this->act(known);
+				store::takeNews(this->followed, store::newsSince(_sender.followed, known));
+				this->applyChanges(known);
 			}
-			this->told = std::max(this->told, _teller.proof());
-			// A later proof that tells of a change that isn't known here says nothing; the table's own holds.
+			this->told = std::max(this->told, _sender.proof());
+			// A later proof that covers a change that isn't known here is ignored; the table's own proof is valid.
 			const bool behind = isBehind(this->table, this->proof().changedAt);
-			const store::ConfigurationProof holds = behind ? store::proofOf(this->followed) : this->proof();
-			if (0 != holds.changedAt && 0 != this->followed.version)
+			const store::ConfigurationProof validProof = behind ? store::proofOf(this->followed) : this->proof();
+			if (0 != validProof.changedAt && 0 != this->followed.version)
 			{
-				this->provenAt = std::max(this->provenAt, std::size_t(holds.storeTime - 1));
+				this->provenAt = std::max(this->provenAt, std::size_t(validProof.storeTime - 1));
 			}
 		}
 
 	private:
-		void act(std::uint64_t _known)
+		void applyChanges(std::uint64_t _known)
 		{
 			std::vector<EvacuationRow> zones;
 			const store::Rows rows = store::rowsSince(this->followed, _known);
@@ -125,8 +125,8 @@
 		}
 	};
 
-	/// Compares what a follower believes with what the store had at the moment of its newest proof.
-	void assertBelievesTheStore(const StoreHistory& _store, const Follower& _follower)
+	/// Compares a follower's state with the store's state at the time of its newest proof.
+	void assertMatchesStore(const StoreHistory& _store, const Follower& _follower)
 	{
 		const std::map<std::string, EvacuationRow> last = _store.lastChanges(0, _follower.provenAt);
 		for (const auto& [key, change] : last)
@@ -138,12 +138,12 @@
 			const auto found = last.find(zone);
 			const bool inStore = last.end() != found && !found->second.gone;
 			const std::vector<std::string> evacuated = evacuatedZones(_follower.table);
-			const bool believed = std::find(evacuated.begin(), evacuated.end(), zone) != evacuated.end();
-			RC_ASSERT(believed == inStore);
+			const bool isEvacuatedHere = std::find(evacuated.begin(), evacuated.end(), zone) != evacuated.end();
+			RC_ASSERT(isEvacuatedHere == inStore);
 		}
 	}
 
-	/// One step: a change in the store, an answer of it, news of another, or a process that starts anew.
+	/// One random step: a change in the store, a response of it, news from another process, or a restart.
 	void step(StoreHistory& _store, std::vector<Follower>& _followers)
 	{
 		enum class Action
@@ -165,7 +165,7 @@
 		}
 		else if (News == action)
 		{
-			self.takeNews(_followers[*rc::gen::element<std::size_t>(0, 1, 2)], *rc::gen::element(true, true, false));
+			self.applyNews(_followers[*rc::gen::element<std::size_t>(0, 1, 2)], *rc::gen::element(true, true, false));
 		}
 		else if (Action::Restart == action)
 		{
@@ -173,7 +173,7 @@
 		}
 		else
 		{
-			// An answer that comes late shows fewer changes than the store has by now.
+			// A late response contains fewer changes than the store has by now.
 			const bool late = *rc::gen::element(false, false, true);
 			const std::size_t newest = _store.changes.size();
 			const std::size_t upTo = late ? *rc::gen::inRange<std::size_t>(self.table.knownUpTo, newest + 1) : newest;
@@ -194,7 +194,7 @@
 	cr_assert(!isEvacuated(table, "north") && evacuatedZones(table).empty());
 }
 
-Test(evacuation, a_row_that_is_written_again_changes_nothing)
+Test(evacuation, rewriting_a_row_changes_nothing)
 {
 	OperatorTable table;
 	takeEvacuations(table, {row("north", 5)}, 5, false);
@@ -203,7 +203,7 @@
 	cr_assert(9 == table.knownUpTo);
 }
 
-Test(evacuation, an_older_answer_never_undoes_a_newer_one)
+Test(evacuation, an_older_response_never_undoes_a_newer_one)
 {
 	OperatorTable table;
 	takeEvacuations(table, {row("north", 5)}, 5, false);
@@ -214,8 +214,8 @@
 	cr_assert(9 == table.knownUpTo);
 }
 
-/// The history that would have told of the removal was lost.
-Test(evacuation, a_zone_that_a_whole_read_does_not_name_is_taken_back)
+/// The history that contained the removal was lost.
+Test(evacuation, a_full_read_without_a_row_ends_the_evacuation)
 {
 	OperatorTable table;
 	takeEvacuations(table, {row("north", 5), row("south", 6)}, 6, false);
@@ -225,22 +225,22 @@
 	cr_assert(12 == table.knownUpTo);
 }
 
-/// Else 36 gateways ask for a change that none of them can get.
-Test(evacuation, what_is_known_up_to_a_version_counts_like_its_rows)
+/// Otherwise gateways keep requesting a change that none of them can get; seen with 36 gateways.
+Test(evacuation, a_known_version_counts_like_its_rows)
 {
 	OperatorTable table;
 	takeEvacuations(table, {row("north", 5)}, 20, true);
 	cr_assert(!isBehind(table, 20) && isBehind(table, 21));
 }
 
-/// Three gateways read by turns, in the feed or whole, start anew, or go by what another one proved. Whoever
-/// has a proof of a moment believes what the store had then.
-Test(evacuation, a_told_proof_covers_no_change_that_is_not_known)
+/// Three gateways read the feed or the full table, restart, or use a proof relayed by another one. A gateway with
+/// a proof of a point in time has the store's state of that time.
+Test(evacuation, a_relayed_proof_covers_no_unknown_change)
 {
-	constexpr int kHistoriesACase = 100; // a rule that is taken out shows in few of them
-	constexpr int kMostSteps = 60;
+	constexpr int kHistoriesPerCase = 100; // a missing rule fails in few of them
+	constexpr int kMaxSteps = 60;
 	checkProperty("proofs of others hold", [] {
-		for (int history = 0; history < kHistoriesACase; ++history)
+		for (int history = 0; history < kHistoriesPerCase; ++history)
 		{
 			StoreHistory store{{row("north", 1), row(kConfiguration, 2)}};
 			std::vector<Follower> followers(3);
@@ -248,33 +248,33 @@
 			{
 				follower.read(store, *rc::gen::element<std::size_t>(0, 2), true);
 			}
-			const int steps = *rc::gen::inRange(1, kMostSteps);
+			const int steps = *rc::gen::inRange(1, kMaxSteps);
 			for (int count = 0; count < steps; ++count)
 			{
 				step(store, followers);
 				for (Follower& follower : followers)
 				{
-					assertBelievesTheStore(store, follower);
+					assertMatchesStore(store, follower);
 				}
 			}
 		}
 	});
 }
 
-/// A process whose first read came after a removal can't tell of it, but that its read may hide one: whoever hears of it
-/// first takes in the table before the proof. It went by the proof alone, and believed in the zone after it was taken back.
-Test(evacuation, a_process_that_just_started_hides_no_removal_that_another_one_saw)
+/// A process whose first read came after a removal can't report it, only that its read may hide one. The receiver of its
+/// news must apply the table before the proof: with the proof alone it kept the zone evacuated after the evacuation ended.
+Test(evacuation, a_restarted_process_does_not_hide_a_known_removal)
 {
 	const StoreHistory store{{row("north", 1), row(kConfiguration, 2), gone("north", 3)}};
-	Follower believer;
+	Follower receiver;
 	Follower witness;
 	Follower started;
-	believer.read(store, 2, true);
+	receiver.read(store, 2, true);
 	witness.read(store, 2, true);
 	witness.read(store, 3, false);
 	started.read(store, 3, true);
-	believer.takeNews(started, false);
-	cr_assert(!isEvacuated(believer.table, "north") || believer.provenAt < 3, "evacuated by a proof of %zu", believer.provenAt);
-	believer.takeNews(started, true);
-	cr_assert(!isEvacuated(believer.table, "north") && 3 == believer.provenAt);
+	receiver.applyNews(started, false);
+	cr_assert(!isEvacuated(receiver.table, "north") || receiver.provenAt < 3, "evacuated by a proof of %zu", receiver.provenAt);
+	receiver.applyNews(started, true);
+	cr_assert(!isEvacuated(receiver.table, "north") && 3 == receiver.provenAt);
 }
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -1,5 +1,5 @@
-/// The gateway's pure decisions: routes and keys, freshness, retry budget, events, choice of
-/// upstream, admission, times to come back.
+/// Decision functions of the gateway: routes and keys, freshness, retry budget, events, choice of
+/// upstream, admission and retry delays.
 #include <numeric>
 
 #include "archdyke/batch_admission.h"
@@ -38,10 +38,10 @@
 		return model;
 	}
 
-	/// Requests of each of some upstreams after arrivals at many gateways that all see the same
-	/// reported loads.
+	/// @returns Maximum number of requests at one upstream after arrivals at many gateways that all see
+	/// the same reported loads.
 	template <typename Choose>
-	std::uint32_t mostAfterArrivals(Choose _choose)
+	std::uint32_t maxAfterArrivals(Choose _choose)
 	{
 		constexpr std::size_t kUpstreams = 63;
 		constexpr int kArrivals = 60;
@@ -73,7 +73,7 @@
 	cr_assert_null(findRoute(index, "c.example", "/x/"));
 }
 
-Test(decisions, a_split_follows_its_weights)
+Test(decisions, services_are_chosen_by_weight)
 {
 	CatalogRoute split = route("a", "/");
 	split.services = {{"old", 90}, {"none", 0}, {"new", 10}};
@@ -97,9 +97,8 @@
 	cr_assert(mayRepeat(two));
 }
 
-/// Whatever the true offset of the clocks and the ways there and back, the proof is never told
-/// younger than the answer is.
-Test(decisions, a_proof_is_never_younger_than_the_stores_answer)
+/// For any clock offset and network delays, the age of the proof is at least the age of the response.
+Test(decisions, a_proof_is_never_younger_than_the_stores_response)
 {
 	checkProperty("proof at most the store's answer", [] {
 		const auto offset = *rc::gen::inRange<Millis>(-100'000, 100'000);
@@ -124,7 +123,7 @@
 	cr_assert(50 == *proofAge(freshness, 150));
 }
 
-/// Any number of gateways together stay within the ratio of any window plus the allowance.
+/// Any number of gateways together stay within the ratio plus the allowance in any window.
 Test(decisions, resends_stay_within_the_window)
 {
 	checkProperty("resends of any window", [] {
@@ -155,7 +154,7 @@
 	});
 }
 
-Test(decisions, events_are_split_wherever_the_pieces_end)
+Test(decisions, events_are_split_for_any_chunk_boundaries)
 {
 	checkProperty("same events for any pieces", [] {
 		const std::string text = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid: x\ndata: d\n\nrest";
@@ -177,7 +176,7 @@
 	});
 }
 
-Test(decisions, events_go_out_once_and_in_order)
+Test(decisions, events_are_delivered_once_and_in_order)
 {
 	cr_assert(EventVerdict::Deliver == judgeEvent({5, ""}, std::nullopt));
 	cr_assert(EventVerdict::Deliver == judgeEvent({5, ""}, 4));
@@ -186,19 +185,19 @@
 	cr_assert(EventVerdict::Deliver == judgeEvent({std::nullopt, ""}, 4));
 }
 
-/// With loads that are old, the least loaded upstream would get what all gateways send.
-Test(decisions, two_choices_make_no_herd)
+/// With stale loads, always choosing the least loaded upstream sends it the requests of all gateways.
+Test(decisions, two_choices_avoid_herding)
 {
-	const std::uint32_t two = mostAfterArrivals([](const std::vector<UpstreamCandidate>& _seen, Random& _random) {
+	const std::uint32_t two = maxAfterArrivals([](const std::vector<UpstreamCandidate>& _seen, Random& _random) {
 		return chooseUpstream(_seen, _random);
 	});
-	const std::uint32_t least = mostAfterArrivals([](const std::vector<UpstreamCandidate>& _seen, Random&) {
+	const std::uint32_t least = maxAfterArrivals([](const std::vector<UpstreamCandidate>& _seen, Random&) {
 		return chooseLeastLoaded(_seen);
 	});
 	cr_assert(least == 60 && two <= 6, "least loaded: %u at one, two choices: %u", least, two);
 }
 
-Test(decisions, suspended_and_tried_upstreams_are_left_alone_while_others_are_there)
+Test(decisions, suspended_and_excluded_upstreams_are_avoided_while_others_are_left)
 {
 	Random random(1);
 	std::vector<UpstreamCandidate> candidates(3);
@@ -214,7 +213,7 @@
 	cr_assert(!chooseUpstream(candidates, random));
 }
 
-Test(decisions, three_failures_suspend_an_upstream_and_an_answer_takes_it_back)
+Test(decisions, three_failures_suspend_an_upstream_and_a_response_ends_it)
 {
 	UpstreamHealth health;
 	noteTry(health, true, 100);
@@ -227,7 +226,7 @@
 	cr_assert(!isSuspended(health, 201));
 }
 
-Test(decisions, a_slow_group_lets_fewer_in)
+Test(decisions, a_slow_group_admits_fewer_requests)
 {
 	const BatchView quick{4.0 * (4.55 + 0.9 * 6.0), 6.0};
 	const BatchView slow{3.2 * quick.passMs, 6.0};
@@ -239,14 +238,14 @@
 	cr_assert(mayEnter(engine(), slowAndFull, {120, true}));
 }
 
-Test(decisions, an_unknown_pass_lets_the_batch_fill)
+Test(decisions, an_unknown_pass_time_admits_a_full_batch)
 {
 	cr_assert(mayEnter(engine(), {0.0, 11.0}, {120, false}));
 	cr_assert(!mayEnter(engine(), {0.0, 13.0}, {120, false}));
 }
 
-/// Callers that were refused together don't come together, and never later than they honour.
-Test(decisions, times_to_come_back_are_spread_and_honoured)
+/// Callers that were refused together don't retry together, and no delay is longer than they honour.
+Test(decisions, retry_delays_are_spread_and_honoured)
 {
 	Random random(3);
 	for (int cause = 0; cause < int(RefusalCause::Count); ++cause)
@@ -264,7 +263,7 @@
 	cr_assert(comeBackAfter(RefusalCause::GroupDown, std::nullopt, 900, random) <= 300);
 }
 
-Test(decisions, a_slow_upstream_gets_little)
+Test(decisions, a_slow_upstream_gets_few_requests)
 {
 	Random random(7);
 	std::vector<UpstreamCandidate> candidates(4, UpstreamCandidate{2.0, 12, true, false, false, 0.0, 1.0});
@@ -275,11 +274,11 @@
 	{
 		slow += 1 == chooseUpstream(candidates, random) ? 1 : 0;
 	}
-	// Drawn twice, one time in 16, it has no rival; against any other it loses.
+	// It is chosen only if both random choices are this upstream, once in 16 times.
 	cr_assert(slow < 45, "%d of 400", slow);
 }
 
-Test(decisions, only_an_upstream_that_is_silent_among_others_is_left)
+Test(decisions, only_an_upstream_that_alone_is_silent_is_abandoned)
 {
 	const Hearing silent{1, 1'000, 2'000};
 	cr_assert(isSilent(silent, 2'000) && !isSilent(silent, 1'500));
@@ -288,8 +287,8 @@
 	cr_assert(shouldLeaveSilent(silent, 1'000, 2'000) && !shouldLeaveSilent(silent, 500, 2'000));
 }
 
-/// All processes were killed: callers whose streams broke come back before their group opens 1.6 s later.
-Test(decisions, who_came_back_waits_out_a_usual_outage)
+/// All processes are killed: callers whose streams broke retry before their group opens 1.6 s later.
+Test(decisions, returning_callers_wait_for_the_end_of_a_usual_outage)
 {
 	Outage outage;
 	noteOutage(outage, false, 10'000);
@@ -306,8 +305,8 @@
 	cr_assert(mayAwaitOpening(outage, {true, 6'000, 0}, now + 5'000), "another outage");
 }
 
-/// A zone is cut off for 6 s: nobody waits for a group that stays down, but at its beginning.
-Test(decisions, nobody_waits_long_in_an_outage_that_lasts)
+/// A zone is partitioned for 6 s: callers wait only at the beginning of the outage.
+Test(decisions, callers_do_not_wait_in_a_long_outage)
 {
 	Outage outage;
 	for (Millis now = 10'000; now < 16'000; now += 100)
@@ -317,8 +316,8 @@
 	}
 }
 
-/// Callers of an outage that has lasted a while come back when it ends, not 2 s after they were told.
-Test(decisions, the_time_to_come_back_goes_by_the_age_of_the_outage)
+/// Callers refused late in an outage retry when it is expected to end, not 2 s after their refusal.
+Test(decisions, the_retry_delay_depends_on_the_age_of_the_outage)
 {
 	Outage outage;
 	cr_assert(!expectedOpeningMs(outage, 10'000));
@@ -333,8 +332,8 @@
 	cr_assert(!expectedOpeningMs(outage, 14'000), "no request has seen it lately");
 }
 
-/// One rank of 24 takes 12 times its time for 9 s: its streams of 20 events kept all passes at 350 ms to
-/// the end of it, though its experts had been moved within 3 s.
+/// One rank of 24 takes 12 times its usual time for 9 s: its streams of 20 events kept all passes at 350 ms
+/// for the whole time, although its experts had been moved within 3 s.
 Test(decisions, streams_leave_a_slow_rank_while_its_group_is_late)
 {
 	cr_assert(shouldLeaveSlow({12.0, 350.0, 150}));
@@ -343,7 +342,7 @@
 	cr_assert(!shouldLeaveSlow({12.0, 0.0, 150}) && !shouldLeaveSlow({12.0, 350.0, 0}));
 }
 
-/// Moves of streams that get their answers anyway take half of the budget at most.
+/// Moving streams that would complete anyway uses at most half of the budget.
 Test(decisions, resends_are_kept_for_requests_that_failed)
 {
 	RetryWindow window;
--- a/tests/test_group_choice.cpp
+++ b/tests/test_group_choice.cpp
@@ -1,4 +1,4 @@
-/// Which group a request goes to, and how a coordinator finds the ranks of its group.
+/// Choice of the group for a request, and a coordinator's search for the ranks of its group.
 #include <algorithm>
 #include <array>
 #include <criterion/criterion.h>
@@ -15,8 +15,8 @@
 		return {GroupStanding::InTime, true, _fullness, 100.0 * (1.0 - _fullness), _ownZoneShare, false};
 	}
 
-	/// How often each of some groups is chosen.
-	std::vector<int> chosenOf(const std::vector<GroupCandidate>& _candidates, int _draws = 1'000)
+	/// @returns How often each candidate is chosen.
+	std::vector<int> countChoices(const std::vector<GroupCandidate>& _candidates, int _draws = 1'000)
 	{
 		Random random(5);
 		std::vector<int> counts(_candidates.size(), 0);
@@ -27,10 +27,10 @@
 		return counts;
 	}
 
-	/// @returns The most requests that one of three equal groups gets while all gateways go by the
-	/// same loads.
+	/// @returns Maximum number of requests that one of three similar groups gets while all gateways use
+	/// the same loads.
 	template <typename Choose>
-	int mostOfOneReport(Choose _choose)
+	int maxPerGroup(Choose _choose)
 	{
 		std::vector<GroupCandidate> seen{inTime(0.50), inTime(0.52), inTime(0.54)};
 		std::array<int, 3> arrivals{};
@@ -48,55 +48,55 @@
 	std::vector<GroupCandidate> candidates{inTime(0.2, 1.0), inTime(0.2), inTime(0.2)};
 	candidates[0].standing = GroupStanding::Down;
 	candidates[1].hasRoom = false;
-	cr_assert(1'000 == chosenOf(candidates)[2]);
+	cr_assert(1'000 == countChoices(candidates)[2]);
 	candidates[2].standing = GroupStanding::Down;
 	Random random(1);
 	cr_assert(!chooseGroup(candidates, random));
 	cr_assert(!chooseGroup({}, random));
 }
 
-Test(groupchoice, the_own_zone_comes_first_until_it_is_much_fuller)
+Test(groupchoice, the_own_zone_is_preferred_until_it_is_much_more_loaded)
 {
-	cr_assert(1'000 == chosenOf({inTime(0.6, 1.0), inTime(0.4)})[0]);
-	const std::vector<int> spilled = chosenOf({inTime(0.9, 1.0), inTime(0.3)});
+	cr_assert(1'000 == countChoices({inTime(0.6, 1.0), inTime(0.4)})[0]);
+	const std::vector<int> spilled = countChoices({inTime(0.9, 1.0), inTime(0.3)});
 	cr_assert(spilled[1] > spilled[0]);
 }
 
-Test(groupchoice, a_late_or_unheard_group_gets_what_those_in_time_have_no_room_for)
+Test(groupchoice, a_late_or_unknown_group_gets_requests_once_groups_in_time_are_full)
 {
 	std::vector<GroupCandidate> candidates{inTime(0.1, 1.0), inTime(0.9)};
 	for (const GroupStanding standing : {GroupStanding::Late, GroupStanding::Unknown})
 	{
 		candidates[0].standing = standing;
 		candidates[1].hasRoom = true;
-		cr_assert(1'000 == chosenOf(candidates)[1]);
+		cr_assert(1'000 == countChoices(candidates)[1]);
 		candidates[1].hasRoom = false;
-		cr_assert(1'000 == chosenOf(candidates)[0]);
+		cr_assert(1'000 == countChoices(candidates)[0]);
 	}
 }
 
-Test(groupchoice, a_second_try_goes_elsewhere_if_it_can)
+Test(groupchoice, a_retry_goes_to_another_group_if_possible)
 {
 	std::vector<GroupCandidate> candidates{inTime(0.1, 1.0), inTime(0.9)};
 	candidates[0].failedRequest = true;
-	cr_assert(1'000 == chosenOf(candidates)[1]);
+	cr_assert(1'000 == countChoices(candidates)[1]);
 	candidates[1].standing = GroupStanding::Down;
-	cr_assert(1'000 == chosenOf(candidates)[0]);
+	cr_assert(1'000 == countChoices(candidates)[0]);
 }
 
-/// All gateways know the same loads: taking the emptiest group would send all there.
-Test(groupchoice, gateways_with_the_same_loads_make_no_herd)
+/// All gateways see the same loads: choosing the least utilized group would send all requests there.
+Test(groupchoice, gateways_with_the_same_loads_avoid_herding)
 {
-	const int drawn = mostOfOneReport([](const std::vector<GroupCandidate>& _seen, Random& _random) {
+	const int drawn = maxPerGroup([](const std::vector<GroupCandidate>& _seen, Random& _random) {
 		return chooseGroup(_seen, _random);
 	});
-	const int emptiest = mostOfOneReport([](const std::vector<GroupCandidate>& _seen, Random&) {
+	const int emptiest = maxPerGroup([](const std::vector<GroupCandidate>& _seen, Random&) {
 		return chooseEmptiestGroup(_seen);
 	});
 	cr_assert(90 == emptiest && drawn < 45, "emptiest: %d at one, drawn: %d", emptiest, drawn);
 }
 
-Test(ranksearch, a_whole_group_asks_nobody_else)
+Test(ranksearch, a_complete_group_polls_no_other_ranks)
 {
 	const std::vector<SearchCandidate> others(1'000);
 	cr_assert(searchRanks(others, {24, 24}, 10'000).empty());
@@ -104,7 +104,7 @@
 	cr_assert(!searchRanks(others, {0, 0}, 10'000).empty());
 }
 
-Test(ranksearch, the_nearest_are_asked_first_and_few_at_a_time)
+Test(ranksearch, the_nearest_ranks_are_polled_first_and_few_at_a_time)
 {
 	std::vector<SearchCandidate> others(200);
 	for (std::size_t index = 100; index < 110; ++index)
@@ -119,7 +119,7 @@
 	}
 }
 
-Test(ranksearch, all_are_asked_in_turn)
+Test(ranksearch, all_ranks_are_polled_in_turn)
 {
 	std::vector<SearchCandidate> others(100);
 	for (int look = 1; look <= 4; ++look)
@@ -134,7 +134,7 @@
 	}));
 }
 
-Test(ranksearch, those_in_other_groups_are_asked_again_only_now_and_then)
+Test(ranksearch, ranks_of_other_groups_are_polled_again_rarely)
 {
 	SearchCandidate elsewhere;
 	elsewhere.askedAt = 10'000;
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -1,5 +1,5 @@
-/// The lease without a common clock: fences rise, and no two act at once as long as their
-/// clocks run at one speed.
+/// Lease without synchronized clocks: fencing tokens increase, and no two holders act at once as long
+/// as their clocks run at the same rate.
 #include <map>
 #include <optional>
 
@@ -9,7 +9,7 @@
 
 using namespace archdyke;
 
-Test(lease, lapsed_holder_does_not_act)
+Test(lease, expired_holder_does_not_act)
 {
 	LeaseView view;
 	view.self = 1;
@@ -20,7 +20,7 @@
 	cr_assert(!actingFence(view, kLeaseActMs));
 }
 
-Test(lease, fences_rise_and_holders_do_not_overlap)
+Test(lease, fences_increase_and_holders_do_not_overlap)
 {
 	tests::checkProperty("three candidates with pauses", [] {
 		std::optional<LeaseRow> row;
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -1,4 +1,4 @@
-/// The run ledger: what it proves, and the same as a naive ledger that keeps all history.
+/// Run ledger: what it proves, and equivalence with a reference ledger that keeps the full history.
 #include <algorithm>
 #include <set>
 
@@ -57,7 +57,7 @@
 	cr_assert(RevokeState::Unknown == revokeRun(ledger, {"r", 0}, {1, kAgent + 1, 1}, 0));
 }
 
-Test(ledger, not_repeatable_runs_once_over_all_tries)
+Test(ledger, not_repeatable_runs_once_over_all_attempts)
 {
 	Ledger ledger = freshLedger();
 	cr_assert(RefusalReason::None == offerRun(ledger, {"r", 0}, session(1), false, 0));
@@ -67,7 +67,7 @@
 	cr_assert(RefusalReason::Duplicate == offerRun(ledger, {"r", 2}, session(1), false, 2));
 }
 
-Test(ledger, forgets_only_what_no_revoke_can_ask_for)
+Test(ledger, keeps_runs_as_long_as_they_can_be_revoked)
 {
 	Ledger ledger = freshLedger();
 	offerRun(ledger, {"r", 0}, session(1), false, 0);
@@ -110,8 +110,8 @@
 		return event;
 	}
 
-	/// Obviously right and slow: a list of all that happened, searched anew each time.
-	struct NaiveLedger
+	/// Reference model: a list of all events, searched for each query.
+	struct ReferenceLedger
 	{
 		struct Entry
 		{
@@ -188,25 +188,25 @@
 		}
 	};
 
-	/// Applies an event to both and to what must always hold.
-	void applyBoth(Ledger& _ledger, NaiveLedger& _naive, const Event& _event, std::set<RunKey>& _provedNotRun, std::multiset<std::string>& _starts)
+	/// Applies an event to both ledgers and checks the invariants.
+	void applyBoth(Ledger& _ledger, ReferenceLedger& _reference, const Event& _event, std::set<RunKey>& _provedNotRun, std::multiset<std::string>& _starts)
 	{
 		switch (_event.step)
 		{
 		case Step::Hello:
 			openSession(_ledger, _event.from, 0);
-			if (!_naive.isOld(_event.from))
+			if (!_reference.isOld(_event.from))
 			{
-				_naive.history.push_back({"session", {}, _event.from});
+				_reference.history.push_back({"session", {}, _event.from});
 			}
 			return;
 		case Step::Offer:
-			RC_ASSERT(offerRun(_ledger, _event.key, _event.from, _event.repeatable, 0) == _naive.offer(_event));
+			RC_ASSERT(offerRun(_ledger, _event.key, _event.from, _event.repeatable, 0) == _reference.offer(_event));
 			return;
 		case Step::Start:
 		{
 			const bool started = startRun(_ledger, _event.key);
-			RC_ASSERT(started == _naive.start(_event.key));
+			RC_ASSERT(started == _reference.start(_event.key));
 			RC_ASSERT(!started || !_provedNotRun.contains(_event.key));
 			if (started)
 			{
@@ -220,7 +220,7 @@
 		default:
 		{
 			const RevokeState state = revokeRun(_ledger, _event.key, _event.from, 0);
-			RC_ASSERT(state == _naive.revoke(_event));
+			RC_ASSERT(state == _reference.revoke(_event));
 			if (RevokeState::NotRun == state)
 			{
 				_provedNotRun.insert(_event.key);
@@ -230,17 +230,17 @@
 	}
 } // namespace
 
-Test(ledger, same_as_naive_and_proofs_hold)
+Test(ledger, matches_the_reference_ledger_and_its_proofs_hold)
 {
 	tests::checkProperty("ledger against full history", [] {
 		Ledger ledger = freshLedger();
-		NaiveLedger naive;
+		ReferenceLedger reference;
 		std::set<RunKey> provedNotRun;
 		std::multiset<std::string> starts;
 		const int length = *rc::gen::inRange(1, 60);
 		for (int index = 0; index < length; ++index)
 		{
-			applyBoth(ledger, naive, makeEvent(), provedNotRun, starts);
+			applyBoth(ledger, reference, makeEvent(), provedNotRun, starts);
 			RC_ASSERT(starts.count("b") <= 1u); // "b" is not repeatable
 		}
 	});
--- a/tests/test_limits.cpp
+++ b/tests/test_limits.cpp
@@ -1,4 +1,4 @@
-/// Token buckets and retries.
+/// Token buckets and retry budgets.
 #include "archdyke/limits.h"
 #include "archdyke/retry.h"
 #include "base/config.h"
@@ -6,7 +6,7 @@
 
 using namespace archdyke;
 
-Test(limits, retry_after_is_when_the_next_token_is_there)
+Test(limits, retry_after_is_the_time_until_the_next_token)
 {
 	Bucket bucket;
 	const RateLimit limit{4.0, 2.0};
@@ -41,7 +41,7 @@
 	cr_assert(1.0 == shareOf({100.0, 3.0}, 7).burst);
 }
 
-Test(retry, never_again_after_it_may_have_run)
+Test(retry, no_retry_after_it_may_have_run)
 {
 	tests::checkProperty("no second run of what may not be repeated", [] {
 		FailedTry failed;
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -1,4 +1,4 @@
-/// Leaving is sticky for an incarnation, from whatever source.
+/// A report from any source that an incarnation is leaving is permanent.
 #include "archdyke/membership.h"
 #include "check.h"
 
@@ -18,8 +18,8 @@
 	cr_assert(mayReceiveWork(member));
 }
 
-/// Naive version: remembers all that was ever said.
-Test(membership, same_as_naive_memory_of_everything)
+/// Reference model: remembers all reports.
+Test(membership, matches_a_model_that_remembers_all_reports)
 {
 	tests::checkProperty("member against full memory", [] {
 		Member member;
@@ -42,7 +42,7 @@
 				break;
 			case 1:
 			{
-				// Incarnations only rise here: an old one's word doesn't come after a new one's.
+				// Incarnations only increase here: no report of an old one follows one of a new one.
 				current += *rc::gen::inRange<std::uint64_t>(0, 2);
 				current = 0 == current ? 1 : current;
 				const bool leaving = *rc::gen::arbitrary<bool>();
--- a/tests/test_relay.cpp
+++ b/tests/test_relay.cpp
@@ -1,4 +1,4 @@
-/// The relay of answers under late, doubled, cut and foreign frames.
+/// Relay of responses with late, duplicate, truncated and foreign frames.
 #include "archdyke/relay.h"
 #include "check.h"
 
@@ -14,7 +14,7 @@
 	}
 } // namespace
 
-Test(relay, a_cut_answer_never_ends_cleanly)
+Test(relay, a_truncated_response_never_ends_cleanly)
 {
 	RelayState state{kMine, 0, false};
 	cr_assert(FrameAction::Deliver == acceptFrame(state, frame(kMine, 0, 10, false, 0)).action);
@@ -22,7 +22,7 @@
 	cr_assert(!state.complete);
 }
 
-Test(relay, frames_of_another_try_are_dropped)
+Test(relay, frames_of_another_attempt_are_dropped)
 {
 	RelayState state{kMine, 0, false};
 	cr_assert(FrameAction::Drop == acceptFrame(state, frame({"mine", 0}, 0, 10, true, 10)).action);
@@ -30,7 +30,7 @@
 	cr_assert(0 == state.nextOffset);
 }
 
-Test(relay, a_failed_upstream_breaks_the_answer)
+Test(relay, a_failed_upstream_breaks_the_response)
 {
 	RelayState state{kMine, 0, false};
 	FrameHead failed = frame(kMine, 0, 0, true, 0);
@@ -38,9 +38,9 @@
 	cr_assert(FrameAction::Broken == acceptFrame(state, failed).action);
 }
 
-/// Naive version: marks every byte it was given and hands on while the next one is there,
-/// from in-order pieces only.
-Test(relay, delivers_exactly_the_answer_whatever_comes)
+/// For any order of frames, exactly the bytes of the response are delivered, from frames that contain
+/// the next byte only.
+Test(relay, delivers_exactly_the_response_for_any_frames)
 {
 	tests::checkProperty("relay under loss, doubles and strangers", [] {
 		const std::string answer = *rc::gen::nonEmpty(rc::gen::string<std::string>());
--- a/tests/test_relay_tree.cpp
+++ b/tests/test_relay_tree.cpp
@@ -1,4 +1,4 @@
-/// Who relays for whom: every rank once, few messages for any one process, relays that fail replaced.
+/// Relay tree: each rank occurs once, no process sends many messages, and failed relays are replaced.
 #include "archdyke/relay_tree.h"
 #include "check.h"
 
@@ -42,7 +42,7 @@
 	}
 }
 
-Test(relaytree, any_group_costs_each_process_some_messages)
+Test(relaytree, each_process_sends_few_messages_for_any_group)
 {
 	checkProperty("ranks and zones of any number", [](std::uint64_t _seed) {
 		const std::size_t ranks = 1 + _seed % 410;
@@ -92,7 +92,7 @@
 	cr_assert(9 == same && hasEachOnce(after, 129));
 }
 
-/// The coordinator never becomes the hub again: when all failed, those that failed first are tried.
+/// The coordinator never polls all ranks of a large group itself: if all failed, those that failed first relay.
 Test(relaytree, when_all_failed_the_ones_that_failed_first_relay)
 {
 	std::vector<TreeMember> members = group(129, 5);
--- a/tests/test_resend_share.cpp
+++ b/tests/test_resend_share.cpp
@@ -1,4 +1,4 @@
-/// The allowance of resends that gateways share without a counter: the sum over any fleet.
+/// Resend allowance that gateways share without a counter: the sum over any fleet.
 #include "archdyke/resend_share.h"
 #include "archdyke/retry_window.h"
 #include "check.h"
@@ -15,18 +15,18 @@
 namespace
 {
 	constexpr Millis kWindowMs = 10'000;
-	constexpr Millis kTellMs = 100;
+	constexpr Millis kReportIntervalMs = 100;
 	constexpr double kAllowance = 648.0;
 
-	/// Whom a gateway hears.
+	/// Coordinators that a gateway can reach.
 	enum class Reach
 	{
-		All,    ///< The coordinators that most hear.
-		Island, ///< A coordinator that was cut off with it, and counts those that were.
+		All,       ///< The coordinators that most gateways reach.
+		Partition, ///< A coordinator in its own partition, which counts only the gateways there.
 		Nobody
 	};
 
-	/// A gateway that resends whenever it may.
+	/// A gateway that resends whenever it is allowed to.
 	struct Gateway
 	{
 		ResendShare share;
@@ -34,7 +34,7 @@
 		Reach reach = Reach::All;
 		bool hasSpent = false;
 
-		void hear(std::uint32_t _count, Random& _random, Millis _now)
+		void applyCount(std::uint32_t _count, Random& _random, Millis _now)
 		{
 			noteGateways(this->share, _count, kWindowMs, _now);
 			drawRounding(this->share, kWindowMs, _random, _now);
@@ -52,7 +52,7 @@
 		}
 	};
 
-	/// Resends of a whole fleet, by the time at which they were made.
+	/// A fleet of gateways and its resends by time.
 	struct Fleet
 	{
 		std::vector<Gateway> gateways;
@@ -72,7 +72,7 @@
 			{
 				if (Reach::Nobody != gateway.reach)
 				{
-					gateway.hear(counted[gateway.reach], this->random, _now);
+					gateway.applyCount(counted[gateway.reach], this->random, _now);
 				}
 				const std::uint32_t made = gateway.spend(_now);
 				this->resends.emplace_back(_now, made);
@@ -87,24 +87,24 @@
 		}
 	};
 
-	/// What may come over a fleet.
-	void disturb(Fleet& _fleet, std::uint64_t _draw)
+	/// Applies a random disturbance to a fleet.
+	void applyDisturbance(Fleet& _fleet, std::uint64_t _draw)
 	{
 		const std::size_t count = _fleet.gateways.size();
 		switch (_draw % 40)
 		{
-		case 0: // machines are added, as many as there are at most
+		case 0: // machines are added, up to twice the fleet
 			_fleet.gateways.resize(std::min<std::size_t>(500, count + 1 + _draw / 40 % count));
 			return;
-		case 1: // a part is killed and starts anew
+		case 1: // half of the gateways are killed and restart
 			std::for_each(_fleet.gateways.begin(), _fleet.gateways.begin() + std::ptrdiff_t(count / 2), [](Gateway& _gateway) {
 				_gateway = Gateway();
 			});
 			return;
-		case 2: // a zone is cut off, with a coordinator or without, or is back
+		case 2: // a zone is partitioned, with or without a coordinator, or reconnects
 		case 4:
 			std::for_each(_fleet.gateways.begin(), _fleet.gateways.begin() + std::ptrdiff_t(count / 3), [&](Gateway& _gateway) {
-				const Reach away = 2 == _draw % 40 ? Reach::Nobody : Reach::Island;
+				const Reach away = 2 == _draw % 40 ? Reach::Nobody : Reach::Partition;
 				_gateway.reach = Reach::All == _gateway.reach ? away : Reach::All;
 			});
 			return;
@@ -123,11 +123,11 @@
 		Random random(_seed);
 		Fleet fleet;
 		fleet.gateways.resize(1 + random() % 500);
-		for (Millis now = 1'000; now < 31'000; now += kTellMs)
+		for (Millis now = 1'000; now < 31'000; now += kReportIntervalMs)
 		{
 			if (0 == now % 1'000)
 			{
-				disturb(fleet, random());
+				applyDisturbance(fleet, random());
 			}
 			fleet.step(now);
 		}
@@ -135,26 +135,26 @@
 	});
 }
 
-/// Requests that an upstream failed once were not sent again by any of 531 gateways, on a calm day too, while the budget of
-/// all together was untouched: a share was 0.49 of a resend, and none of it could be spent.
+/// With 531 gateways no request that an upstream failed once was resent, even in normal operation, while the budget of all
+/// together was unused: a share was 0.49 of a resend, which could not be spent.
 Test(resendshare, a_steady_fleet_may_spend_a_third_of_the_allowance_at_any_size)
 {
 	for (const std::size_t size : {1, 7, 32, 70, 531, 1'062})
 	{
 		Fleet fleet;
 		fleet.gateways.resize(size);
-		for (Millis now = 1'000; now < 25'000; now += kTellMs)
+		for (Millis now = 1'000; now < 25'000; now += kReportIntervalMs)
 		{
 			fleet.step(now);
 		}
-		const double spread = 2.0 * std::sqrt(double(size)); // four standard deviations of as many roundings
+		const double spread = 2.0 * std::sqrt(double(size)); // four standard deviations of the sum of the rounding offsets
 		cr_assert(double(fleet.inWindow) > 0.33 * kAllowance - spread, "%u at %zu", fleet.inWindow, size);
 		cr_assert(double(fleet.most) <= kAllowance, "%u at %zu", fleet.most, size);
 	}
 }
 
-/// Whoever may resend nothing now may do so some time later, and the sum stays what it is meanwhile.
-Test(resendshare, no_gateway_stays_without_a_resend)
+/// A gateway without a resend gets one some time later, and the sum stays constant meanwhile.
+Test(resendshare, no_gateway_is_left_without_resends)
 {
 	constexpr std::size_t kSize = 1'062;
 	constexpr Millis kLongMs = 14'400'000;
@@ -172,10 +172,10 @@
 	cr_assert(without <= std::ptrdiff_t(kSize) / 20, "%td after two dozen roundings", without);
 }
 
-Test(resendshare, what_was_told_lapses)
+Test(resendshare, reported_counts_expire)
 {
 	ResendShare share;
-	for (Millis now = 1'000; now <= 4'000; now += kTellMs)
+	for (Millis now = 1'000; now <= 4'000; now += kReportIntervalMs)
 	{
 		noteGateways(share, 10, kWindowMs, now);
 	}
@@ -183,32 +183,32 @@
 	cr_assert(0.001 > allowanceShare(share, kWindowMs, 7'000));
 }
 
-/// A part that is cut off with a coordinator counts itself alone: its gateways must not go by that at once.
-Test(resendshare, those_that_left_count_for_some_windows)
+/// A partition with a coordinator counts only its own gateways, which must not use that count at once.
+Test(resendshare, gateways_that_left_count_for_some_windows)
 {
 	ResendShare share;
-	for (Millis now = 1'000; now <= 4'000; now += kTellMs)
+	for (Millis now = 1'000; now <= 4'000; now += kReportIntervalMs)
 	{
 		noteGateways(share, 100, kWindowMs, now);
 	}
-	for (Millis now = 4'100; now <= 9'000; now += kTellMs)
+	for (Millis now = 4'100; now <= 9'000; now += kReportIntervalMs)
 	{
 		noteGateways(share, 1, kWindowMs, now);
 	}
 	cr_assert(0.01 > allowanceShare(share, kWindowMs, 9'000));
-	for (Millis now = 9'100; now <= 60'000; now += kTellMs)
+	for (Millis now = 9'100; now <= 60'000; now += kReportIntervalMs)
 	{
 		noteGateways(share, 1, kWindowMs, now);
 	}
 	cr_assert(0.01 > allowanceShare(share, kWindowMs, 60'000));
-	for (Millis now = 60'100; now <= 65'000; now += kTellMs)
+	for (Millis now = 60'100; now <= 65'000; now += kReportIntervalMs)
 	{
 		noteGateways(share, 1, kWindowMs, now);
 	}
 	cr_assert(0.2 < allowanceShare(share, kWindowMs, 65'000));
 }
 
-Test(resendshare, one_that_just_started_spends_nothing_of_it)
+Test(resendshare, a_restarted_gateway_gets_almost_none_of_the_allowance)
 {
 	ResendShare share;
 	cr_assert(0.001 > allowanceShare(share, kWindowMs, 1'000));
--- a/tests/test_route.cpp
+++ b/tests/test_route.cpp
@@ -1,4 +1,4 @@
-/// Routing: never to an agent that takes no work, zone first, deterministic subsets.
+/// Routing: never to an unusable agent, own zone first, deterministic subsets.
 #include <algorithm>
 #include <map>
 
@@ -15,7 +15,7 @@
 	}
 } // namespace
 
-Test(route, stays_in_the_zone_while_there_is_room)
+Test(route, stays_in_the_zone_while_slots_are_free)
 {
 	Random random(1);
 	const std::vector<Candidate> candidates{candidate(1, true, 10), candidate(2, false, 0)};
@@ -32,7 +32,7 @@
 	cr_assert(1 == chooseAgent(candidates, std::nullopt, random));
 }
 
-Test(route, a_prefix_stays_with_its_holder_within_the_bound)
+Test(route, a_prefix_stays_with_its_holder_up_to_the_load_bound)
 {
 	Random random(1);
 	std::vector<Candidate> candidates{candidate(1, true, 2), candidate(2, true, 2), candidate(3, true, 2)};
@@ -77,7 +77,7 @@
 	});
 }
 
-Test(route, subsets_cover_every_agent_as_often_as_said)
+Test(route, subsets_cover_each_agent_as_often_as_configured)
 {
 	tests::checkProperty("coverage of subsets", [] {
 		std::vector<std::string> entries;
--- a/tests/test_text_difference.cpp
+++ b/tests/test_text_difference.cpp
@@ -1,4 +1,4 @@
-/// What turns one text into another: whatever the texts, and whatever comes in place of a difference.
+/// Delta encoding between texts: arbitrary texts and malformed deltas.
 #include "archdyke/text_difference.h"
 
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace
 {
-	/// A configuration of some lines that hardly repeat each other.
+	/// @returns A configuration whose lines have little in common.
 	std::string document(int _lines, int _version)
 	{
 		std::string text = "version " + std::to_string(_version) + "\n";
@@ -21,8 +21,8 @@
 		return text;
 	}
 
-	/// Pieces of few kinds, so that texts have some in common.
-	std::string drawText()
+	/// @returns A text of few kinds of chunks, so that texts have ranges in common.
+	std::string makeRandomText()
 	{
 		std::string text;
 		const int pieces = *rc::gen::inRange(0, 30);
@@ -34,11 +34,11 @@
 	}
 } // namespace
 
-Test(textdifference, it_makes_the_target_of_the_base)
+Test(textdifference, a_delta_restores_the_target_from_the_base)
 {
 	checkProperty("any two texts", [] {
-		const std::string base = drawText();
-		const std::string target = drawText();
+		const std::string base = makeRandomText();
+		const std::string target = makeRandomText();
 		RC_ASSERT(target == applyTextDifference(base, differenceBetween(base, target)));
 	});
 }
@@ -54,7 +54,7 @@
 	cr_assert(target == applyTextDifference(base, difference));
 }
 
-Test(textdifference, another_base_is_noticed)
+Test(textdifference, a_wrong_base_is_detected)
 {
 	const std::string difference = differenceBetween(document(100, 1), document(100, 2));
 	std::string other = document(100, 1);
@@ -63,7 +63,7 @@
 	cr_assert(!applyTextDifference("", difference));
 }
 
-Test(textdifference, what_is_cut_or_changed_on_the_way_is_no_difference)
+Test(textdifference, a_truncated_or_changed_delta_is_rejected)
 {
 	const std::string base = document(50, 1);
 	const std::string target = document(50, 2);
