--- a/include/archdyke/forward_switch.h
+++ b/include/archdyke/forward_switch.h
@@ -1,25 +1,27 @@
-/// Switches a group of engine ranks to another expert map when the engines themselves check
-/// no fence and no map: orders may get no answer, and may be carried out late or twice.
+/// Switches a group of engine ranks to another expert map when the engines check neither a fencing
+/// token nor the map: orders may go unanswered, be delayed or be executed more than once.
 ///
-/// A group has one row in the store, written only under the condition that it hasn't changed.
-/// Whoever reads it carries the open switch forward, so that two coordinators want the same,
-/// and late copies of either one's orders do no harm:
+/// Each group has one row in the store, updated only by compare-and-set. Every coordinator that reads the
+/// row continues the open switch that it describes, so two coordinators work towards the same state and
+/// delayed copies of either one's orders are harmless:
 ///
-/// 1. Preparing, in the coordinator's memory alone: all ranks copy what the map needs. Versions
-///    of maps hold the coordinator's term, so that no other one can mean another map by them.
-/// 2. Switching, in the row, with a boundary step some way ahead. Only then one rank is told to hold
-///    the group there, and once it is seen to, all ranks are armed, and seen to be, before the hold is
-///    released. No write is needed while the group stands: the store may be lost meanwhile.
-/// 3. A boundary that all ranks have passed on the old map, none of them armed, is moved. None is used
-///    twice in an epoch, as a late release of the first would open the second.
-/// 4. Who wrote the boundary may give the switch up, by another write, as long as it has given no arm
-///    for it; from then on it gives none. Whoever takes over can't know of arms under way, and may not.
-/// 5. The rank beside the writer is armed last, once all others are seen to be: should its VM freeze
-///    with the hold, others can still tell that it isn't armed. They prepare the map in force anew on
-///    all ranks but that one, which voids arms under way; then the switch is given up. A rank is
-///    disarmed only after another one was seen so: that one was never armed, so the last one isn't.
-/// 6. It is over once all ranks are seen on the map, or the group has formed anew, which voids
-///    all orders of the old epoch.
+/// 1. Preparing, in the coordinator's memory only: all ranks copy the experts that the map needs. Map
+///    versions contain the coordinator's term, so no two coordinators use one version for different maps.
+/// 2. Switching, stored in the row with a boundary step some steps ahead. Only then is one rank ordered to
+///    hold the group at the boundary. Once the hold is observed, all ranks are armed; once all are observed
+///    to be armed, the hold is released. No write is needed during the hold, so the store may be unavailable.
+/// 3. If all ranks pass the boundary on the old map and none is armed, the boundary is moved. A boundary is
+///    never reused within an epoch, because a delayed release of the first hold would release the second.
+/// 4. The coordinator that wrote the boundary may abandon the switch by another write as long as it has sent
+///    no arm order for it; after that write it sends none. A coordinator that took over can't know which arm
+///    orders are in flight and may not abandon the switch this way.
+/// 5. The rank on the writer's VM is armed last, once all others are observed to be armed. If that VM freezes
+///    during the hold, the other ranks show whether the last one can have been armed. If it can't, all ranks
+///    but the last prepare the map in force again under a new version, which voids arm orders in flight; then
+///    the switch is abandoned. A rank is disarmed only after another rank was observed to have prepared that
+///    version while unarmed: that rank was never armed, so neither was the last one.
+/// 6. The switch ends once all ranks are observed on the new map, or once the group has formed anew, which
+///    voids all orders of the old epoch.
 #pragma once
 
 #include <cstdint>
@@ -36,8 +38,8 @@
 	enum class SwitchPhase
 	{
 		Idle,
-		Preparing, ///< Never in the row.
-		Holding,   ///< Only in rows of earlier releases: held before the row said Switching.
+		Preparing, ///< Never stored in the row.
+		Holding,   ///< Only in rows of earlier releases, which held the group before they stored Switching.
 		Switching,
 		Count
 	};
@@ -45,35 +47,35 @@
 	/// @returns The name used in the row and in logs.
 	std::string_view toString(SwitchPhase _phase);
 
-	/// What the row of a group says, or the coordinator means to write.
+	/// The content of a group's row, or what the coordinator intends to write to it.
 	struct SwitchIntent
 	{
-		std::uint64_t term = 0;  ///< Rises with each coordinator.
+		std::uint64_t term = 0;  ///< Incremented by each coordinator that takes over.
 		std::string coordinator; ///< IP:port of the coordinator's process.
 		SwitchPhase phase = SwitchPhase::Idle;
-		std::uint64_t epoch = 0;          ///< Of the group, for which the switch is meant.
-		std::uint64_t version = 0;        ///< Of the map; versions rise and never repeat.
-		std::uint64_t boundary = 0;       ///< First step on the map; in phase Idle the last one that was used.
-		ExpertHosts map;                  ///< To switch to; empty in phase Idle.
-		std::uint64_t inForceVersion = 0; ///< Of the map in use before the switch; 0: the one a group forms with.
+		std::uint64_t epoch = 0;          ///< Of the group that the switch applies to.
+		std::uint64_t version = 0;        ///< Of the map; versions increase and are never reused.
+		std::uint64_t boundary = 0;       ///< First step on the new map; in phase Idle the last boundary used.
+		ExpertHosts map;                  ///< Target of the switch; empty in phase Idle.
+		std::uint64_t inForceVersion = 0; ///< Of the map in use before the switch; 0: the initial map of a group.
 		ExpertHosts inForce;              ///< Empty for version 0.
-		/// Rank that is armed once all others are seen to be; none: in any order, as by earlier releases.
+		/// Rank that is armed after all others are observed to be armed; none: any order, as in earlier releases.
 		std::optional<std::uint32_t> last;
 
 		bool operator==(const SwitchIntent&) const = default;
 	};
 
-	/// What one rank was last seen to say of itself.
+	/// The last observed state of one rank.
 	struct RankView
 	{
 		bool seen = false;
 		std::uint64_t epoch = 0;
-		bool open = false;                     ///< Its group serves.
-		std::uint64_t step = 0;                ///< Last one begun.
+		bool open = false;                     ///< Its group serves requests.
+		std::uint64_t step = 0;                ///< Last step started.
 		std::uint64_t map = 0;                 ///< Version in use.
-		std::optional<std::uint64_t> prepared; ///< Version that is copied.
-		std::optional<std::uint64_t> armed;    ///< Version that it takes at a step.
-		std::optional<std::uint64_t> held;     ///< Step that the group doesn't begin.
+		std::optional<std::uint64_t> prepared; ///< Version whose experts are copied.
+		std::optional<std::uint64_t> armed;    ///< Version that it switches to at a given step.
+		std::optional<std::uint64_t> held;     ///< Step that the group doesn't start before a release.
 
 		auto operator<=>(const RankView&) const = default;
 	};
@@ -84,7 +86,7 @@
 		Arm,
 		Hold,
 		Release,
-		Disarm, ///< Daemons of earlier releases take it for a release: it names no step.
+		Disarm, ///< Daemons of earlier releases treat it as a release without a step.
 		Count
 	};
 
@@ -103,33 +105,33 @@
 		auto operator<=>(const RankOrderPlan&) const = default;
 	};
 
-	/// What is to be done now.
+	/// What the coordinator does next.
 	struct SwitchStep
 	{
-		std::optional<SwitchIntent> next; ///< What holds from now on.
-		bool store = false;               ///< Only once the row says so: write it and decide again.
+		std::optional<SwitchIntent> next; ///< New state of the switch; none: unchanged.
+		bool store = false;               ///< `next` applies only once it is stored: write it, then decide again.
 		std::vector<RankOrderPlan> orders;
-		std::string_view reason; ///< For the log, with next.
+		std::string_view reason; ///< For the log; set together with `next`.
 
 		bool operator==(const SwitchStep&) const = default;
 	};
 
-	/// How patient a decision is.
+	/// Conditions and limits for one decision.
 	struct SwitchPatience
 	{
-		std::uint64_t marginSteps = 2; ///< Between a boundary and the newest step seen.
-		bool giveUp = false;           ///< It has taken too long.
-		/// All ranks were heard of late: once one is armed, the group stands until each of them is.
+		std::uint64_t marginSteps = 2; ///< Between a boundary and the newest observed step.
+		bool giveUp = false;           ///< The current phase has exceeded its timeout.
+		/// All ranks reported recently. Once one rank is armed, the group stalls until every rank is armed.
 		bool allReachable = true;
-		/// Rank on the coordinator's VM, which isn't to hold: both would freeze together.
+		/// Rank on the coordinator's VM. It isn't chosen for the hold, since both would freeze together.
 		std::optional<std::uint32_t> avoidedRank;
-		/// No rank can be armed: the coordinator wrote the boundary and gave no arm. Set by withHistory.
+		/// No rank can be armed: this coordinator wrote the boundary and sent no arm order. Set by withHistory.
 		bool nobodyArmed = false;
 
 		bool operator==(const SwitchPatience&) const = default;
 	};
 
-	/// One boundary of one map.
+	/// Identifies one boundary of one map version.
 	struct BoundaryMark
 	{
 		std::uint64_t version = 0; ///< 0: none.
@@ -138,51 +140,51 @@
 		auto operator<=>(const BoundaryMark&) const = default;
 	};
 
-	/// What one coordinator must remember of its switches beside the row.
+	/// What a coordinator must remember about its switches in addition to the row.
 	struct SwitchHistory
 	{
-		BoundaryMark foreign;      ///< Found in the row when it took over.
-		BoundaryMark armed;        ///< Arms for it were given.
-		BoundaryMark givenUp;      ///< A write that gives it up was sent, and may be done late.
-		std::uint64_t version = 0; ///< Highest under which the map in force was prepared anew.
+		BoundaryMark inherited;    ///< Found in the row when this coordinator took over.
+		BoundaryMark armed;        ///< Arm orders for it were sent.
+		BoundaryMark givenUp;      ///< A write that abandons it was sent and may take effect late.
+		std::uint64_t version = 0; ///< Highest version under which the map in force was prepared again.
 
 		auto operator<=>(const SwitchHistory&) const = default;
 	};
 
-	/// @returns What a coordinator knows that has just taken a row over.
+	/// @returns The history of a coordinator that has just taken over the row.
 	SwitchHistory historyOf(const SwitchIntent& _row);
 
-	/// @returns What it knows once it does as decided.
+	/// @returns The history after the coordinator has carried out a decision.
 	SwitchHistory withStep(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchStep& _step);
 
-	/// @returns The patience, as narrow as the history demands.
+	/// @returns The conditions, restricted as the history requires.
 	SwitchPatience withHistory(const SwitchPatience& _patience, const SwitchIntent& _intent, const SwitchHistory& _history);
 
-	/// Decides how an open switch goes on.
-	/// @param[in] _ranks All ranks of the group, each as seen after the row was read.
+	/// Decides how to continue an open switch.
+	/// @param[in] _ranks All ranks of the group, each observed after the row was read.
 	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience);
 
-	/// @returns Orders that release holds which belong to no open switch.
-	/// @param[in] _intent The row, read after the ranks were seen.
+	/// @returns Release orders for holds that belong to no open switch.
+	/// @param[in] _intent The row, read after the ranks were observed.
 	std::vector<RankOrderPlan> releaseStrayHolds(const SwitchIntent& _intent, const std::vector<RankView>& _ranks);
 
-	/// Maps that one coordinator may plan in its term.
+	/// Map versions available to one coordinator in its term.
 	constexpr std::uint64_t kVersionsPerTerm = 100'000;
 
-	/// @param[in] _used Highest version that the coordinator has given beside its switches.
-	/// @returns A new switch, in phase Preparing; none when the term has no versions left and
-	/// the coordinator must take over anew.
+	/// @param[in] _used Highest version that the coordinator has assigned outside its switches.
+	/// @returns A new switch in phase Preparing; none when the versions of the term are used up and the
+	/// coordinator must take over again with a new term.
 	std::optional<SwitchIntent> beginSwitch(const SwitchIntent& _idle, std::uint64_t _epoch, ExpertHosts _map, std::uint64_t _used = 0);
 
-	/// @returns The version under which the map in force is prepared anew to void an open switch.
+	/// @returns The version under which the map in force is prepared again to void an open switch.
 	std::uint64_t voidingVersion(const SwitchIntent& _intent);
 
-	/// @returns The row of a coordinator that takes over: the open switch stays as it is.
+	/// @returns The row as a new coordinator writes it when it takes over; the open switch is unchanged.
 	SwitchIntent takeOver(const SwitchIntent& _row, std::string _coordinator);
 
-	/// @returns Text of a row. How it is laid out: switch_row.cpp.
+	/// @returns The encoded row; switch_row.cpp describes the format.
 	std::string encodeIntent(const SwitchIntent& _intent);
 
-	/// @throws InvalidInputError When the text is no row.
+	/// @throws InvalidInputError When the text isn't a valid row.
 	SwitchIntent decodeIntent(const std::string& _text);
 } // namespace archdyke
--- a/src/decide/forward_switch.cpp
+++ b/src/decide/forward_switch.cpp
@@ -7,15 +7,15 @@
 	namespace
 	{
 		template <typename Is>
-		bool allRanks(const std::vector<RankView>& _ranks, Is _is)
+		bool allRanks(const std::vector<RankView>& _ranks, Is _predicate)
 		{
-			return !_ranks.empty() && std::all_of(_ranks.begin(), _ranks.end(), _is);
+			return !_ranks.empty() && std::all_of(_ranks.begin(), _ranks.end(), _predicate);
 		}
 
 		template <typename Is>
-		bool anyRank(const std::vector<RankView>& _ranks, Is _is)
+		bool anyRank(const std::vector<RankView>& _ranks, Is _predicate)
 		{
-			return std::any_of(_ranks.begin(), _ranks.end(), _is);
+			return std::any_of(_ranks.begin(), _ranks.end(), _predicate);
 		}
 
 		std::uint64_t newestStep(const std::vector<RankView>& _ranks)
@@ -28,9 +28,9 @@
 			return newest;
 		}
 
-		/// The row of a switch that was abandoned. Its boundary stays: no later one may be the
-		/// same, since a release of the abandoned hold may still be under way.
-		SwitchIntent abandoned(const SwitchIntent& _intent)
+		/// @returns The row after a switch was abandoned. It keeps the boundary, which must not be reused:
+		/// a release of the abandoned hold may still be in flight.
+		SwitchIntent abandonedRow(const SwitchIntent& _intent)
 		{
 			SwitchIntent idle = _intent;
 			idle.phase = SwitchPhase::Idle;
@@ -44,8 +44,8 @@
 			return std::max(newestStep(_ranks) + _marginSteps, _intent.boundary + 1);
 		}
 
-		/// The row of a switch that all ranks have copied, with a boundary that nobody has passed.
-		SwitchIntent atNextBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		/// @returns The row of a switch whose map all ranks have copied, with a boundary beyond the newest step.
+		SwitchIntent switchingRow(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
 		{
 			SwitchIntent switching = _intent;
 			switching.phase = SwitchPhase::Switching;
@@ -54,19 +54,19 @@
 			return switching;
 		}
 
-		/// The row of a switch that is in force.
-		SwitchIntent completed(const SwitchIntent& _intent)
+		/// @returns The row after a switch has come into force.
+		SwitchIntent completedRow(const SwitchIntent& _intent)
 		{
-			SwitchIntent idle = abandoned(_intent);
+			SwitchIntent idle = abandonedRow(_intent);
 			idle.inForce = _intent.map;
 			idle.inForceVersion = _intent.version;
 			return idle;
 		}
 
-		/// The row of a group that formed anew: it has the map that groups form with.
-		SwitchIntent formedAnew(const SwitchIntent& _intent)
+		/// @returns The row of a group that formed anew and uses the initial map.
+		SwitchIntent reformedRow(const SwitchIntent& _intent)
 		{
-			SwitchIntent idle = abandoned(_intent);
+			SwitchIntent idle = abandonedRow(_intent);
 			idle.inForce.clear();
 			idle.inForceVersion = 0;
 			idle.boundary = 0;
@@ -95,14 +95,14 @@
 			};
 			if (allRanks(_ranks, isPrepared))
 			{
-				step.next = atNextBoundary(_intent, _ranks, _patience);
+				step.next = switchingRow(_intent, _ranks, _patience);
 				step.store = true;
 				step.reason = "all_prepared";
 				return step;
 			}
 			if (_patience.giveUp)
 			{
-				step.next = abandoned(_intent);
+				step.next = abandonedRow(_intent);
 				step.reason = "preparing_took_too_long";
 				return step;
 			}
@@ -116,7 +116,7 @@
 			return step;
 		}
 
-		/// Holds the group through the first rank that may.
+		/// Orders the first eligible rank to hold the group.
 		std::vector<RankOrderPlan> holdAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
 		{
 			for (std::uint32_t rank = 0; rank < _ranks.size(); ++rank)
@@ -130,11 +130,11 @@
 			return {};
 		}
 
-		/// A row of an earlier release, which arms nobody before it has written Switching itself.
+		/// Continues a row of an earlier release, which arms no rank before it has stored Switching.
 		SwitchStep decideHolding(const SwitchIntent& _intent, const SwitchPatience& _patience)
 		{
 			SwitchStep step;
-			step.next = _patience.giveUp ? abandoned(_intent) : _intent;
+			step.next = _patience.giveUp ? abandonedRow(_intent) : _intent;
 			step.next->phase = _patience.giveUp ? SwitchPhase::Idle : SwitchPhase::Switching;
 			step.next->last = _patience.giveUp ? std::nullopt : _patience.avoidedRank;
 			step.store = true;
@@ -152,7 +152,8 @@
 			return _rank.seen && _rank.armed == _intent.version;
 		}
 
-		/// All ranks began the boundary's pass on the old map. Stays true: arms for it are refused.
+		/// @returns Whether all ranks started the boundary step on the old map. Can't become false again, since
+		/// ranks refuse arm orders for a step that has started.
 		bool hasPassed(const SwitchIntent& _intent, const std::vector<RankView>& _ranks)
 		{
 			return allRanks(_ranks, [&](const RankView& _rank) {
@@ -160,8 +161,8 @@
 			});
 		}
 
-		/// Arms those that aren't while the group is held, the last one once all others are, and
-		/// releases it then.
+		/// While the group is held, arms the ranks that aren't armed, `last` only after all others, then releases
+		/// the hold.
 		std::vector<RankOrderPlan> armOrRelease(const SwitchIntent& _intent, const std::vector<RankView>& _ranks)
 		{
 			std::vector<RankOrderPlan> arms;
@@ -186,13 +187,14 @@
 			return 0 == unarmed ? releases : arms;
 		}
 
-		/// The rank prepared another map while it wasn't armed: it never takes the one of the switch.
+		/// @returns Whether the rank prepared a newer version while unarmed, so that it can't take the map of the
+		/// switch any more.
 		bool isVoided(const RankView& _rank, const SwitchIntent& _intent)
 		{
 			return _rank.seen && _rank.epoch == _intent.epoch && _rank.prepared > _intent.version && !isArmed(_rank, _intent) && !isOnMap(_rank, _intent);
 		}
 
-		/// @returns The ranks but the one that is armed last.
+		/// @returns All ranks except the one that is armed last.
 		std::vector<std::uint32_t> othersThanLast(const SwitchIntent& _intent, const std::vector<RankView>& _ranks)
 		{
 			std::vector<std::uint32_t> others;
@@ -206,29 +208,30 @@
 			return others;
 		}
 
-		/// Gives up a switch whose last rank can't be armed. None when it can go on, or another rank
-		/// than the last is out of sight or armed.
+		/// Voids a switch whose last rank can't be armed, then abandons it.
+		/// @returns None when the switch can continue, or when voiding hasn't started and a rank other than the last
+		/// is unseen or armed.
 		std::optional<SwitchStep> voidSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
 		{
 			const std::vector<std::uint32_t> others = othersThanLast(_intent, _ranks);
-			const auto countOthers = [&](auto _is) {
+			const auto countOthers = [&](auto _predicate) {
 				return std::size_t(std::count_if(others.begin(), others.end(), [&](std::uint32_t _rank) {
-					return _is(_ranks[_rank], _intent);
+					return _predicate(_ranks[_rank], _intent);
 				}));
 			};
 			const std::size_t voided = countOthers(isVoided);
 			const std::size_t unarmed = countOthers([](const RankView& _rank, const SwitchIntent& _switch) {
 				return _rank.seen && !isArmed(_rank, _switch) && !isOnMap(_rank, _switch);
 			});
-			const bool begins = _patience.giveUp && isHeld(_intent, _ranks) && unarmed == others.size();
-			if (!_intent.last || others.empty() || (0 == voided && !begins))
+			const bool startsVoiding = _patience.giveUp && isHeld(_intent, _ranks) && unarmed == others.size();
+			if (!_intent.last || others.empty() || (0 == voided && !startsVoiding))
 			{
 				return std::nullopt;
 			}
 			SwitchStep step;
 			if (others.size() == voided)
 			{
-				step.next = abandoned(_intent);
+				step.next = abandonedRow(_intent);
 				step.next->version = voidingVersion(_intent);
 				step.store = true;
 				step.reason = "last_rank_out_of_reach";
@@ -248,7 +251,7 @@
 			return step;
 		}
 
-		/// @returns Orders that let the group reach the boundary, held or with all ranks armed.
+		/// @returns Orders that let the group reach the boundary either held or with all ranks armed.
 		std::vector<RankOrderPlan> ordersAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
 		{
 			const bool allSeen = allRanks(_ranks, [](const RankView& _rank) {
@@ -257,8 +260,8 @@
 			const bool allInReach = allSeen && _patience.allReachable;
 			if (isHeld(_intent, _ranks))
 			{
-				// Behind an armed rank the switch can't be voided, and the group stands until all are armed: a
-				// coordinator that takes over gives no first arm before it has seen all ranks.
+				// Once a rank is armed, the switch can't be voided and the group stalls until all ranks are armed, so
+				// a coordinator that took over sends the first arm order only after it has seen all ranks.
 				const bool anyArmed = anyRank(_ranks, [&](const RankView& _rank) {
 					return _rank.seen && (isArmed(_rank, _intent) || isOnMap(_rank, _intent));
 				});
@@ -267,8 +270,8 @@
 			const bool released = allRanks(_ranks, [&](const RankView& _rank) {
 				return isArmed(_rank, _intent);
 			});
-			const bool holds = allInReach && !released && newestStep(_ranks) < _intent.boundary;
-			return holds ? holdAtBoundary(_intent, _ranks, _patience) : std::vector<RankOrderPlan>();
+			const bool shouldHold = allInReach && !released && newestStep(_ranks) < _intent.boundary;
+			return shouldHold ? holdAtBoundary(_intent, _ranks, _patience) : std::vector<RankOrderPlan>();
 		}
 
 		SwitchStep decideSwitching(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
@@ -279,7 +282,7 @@
 			});
 			if (onMap)
 			{
-				step.next = completed(_intent);
+				step.next = completedRow(_intent);
 				step.reason = "in_force";
 				return step;
 			}
@@ -287,10 +290,10 @@
 			const bool prepared = allRanks(_ranks, [&](const RankView& _rank) {
 				return _rank.prepared == _intent.version;
 			});
-			const bool givesUp = passed ? _patience.giveUp || !prepared : _patience.giveUp && _patience.nobodyArmed;
-			if (givesUp || passed)
+			const bool abandons = passed ? _patience.giveUp || !prepared : _patience.giveUp && _patience.nobodyArmed;
+			if (abandons || passed)
 			{
-				step.next = givesUp ? abandoned(_intent) : atNextBoundary(_intent, _ranks, _patience);
+				step.next = abandons ? abandonedRow(_intent) : switchingRow(_intent, _ranks, _patience);
 				step.store = true;
 				step.reason = passed ? "boundary_passed_without_a_hold" : "holding_took_too_long";
 				return step;
@@ -336,7 +339,7 @@
 	{
 		if (SwitchPhase::Idle != _intent.phase && epochIsOver(_intent, _ranks))
 		{
-			return {formedAnew(_intent), SwitchPhase::Preparing != _intent.phase, {}, "group_formed_anew"};
+			return {reformedRow(_intent), SwitchPhase::Preparing != _intent.phase, {}, "group_formed_anew"};
 		}
 		switch (_intent.phase)
 		{
--- a/src/decide/switch_history.cpp
+++ b/src/decide/switch_history.cpp
@@ -1,4 +1,4 @@
-/// Begins a switch, and remembers what one coordinator did in it that the row doesn't tell.
+/// Begins a switch and tracks what one coordinator did in it that the row doesn't contain.
 #include <algorithm>
 
 #include "archdyke/forward_switch.h"
@@ -16,24 +16,24 @@
 	SwitchHistory historyOf(const SwitchIntent& _row)
 	{
 		SwitchHistory history;
-		history.foreign = SwitchPhase::Switching == _row.phase ? markOf(_row) : BoundaryMark();
+		history.inherited = SwitchPhase::Switching == _row.phase ? markOf(_row) : BoundaryMark();
 		return history;
 	}
 
 	SwitchHistory withStep(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchStep& _step)
 	{
 		SwitchHistory history = _history;
-		const bool arms = std::any_of(_step.orders.begin(), _step.orders.end(), [](const RankOrderPlan& _order) {
+		const bool sendsArm = std::any_of(_step.orders.begin(), _step.orders.end(), [](const RankOrderPlan& _order) {
 			return RankOrderKind::Arm == _order.kind;
 		});
-		history.armed = arms ? markOf(_intent) : history.armed;
+		history.armed = sendsArm ? markOf(_intent) : history.armed;
 		for (const RankOrderPlan& order : _step.orders)
 		{
-			const bool anew = RankOrderKind::Prepare == order.kind && order.version != _intent.version;
-			history.version = anew ? std::max(history.version, order.version) : history.version;
+			const bool preparesAgain = RankOrderKind::Prepare == order.kind && order.version != _intent.version;
+			history.version = preparesAgain ? std::max(history.version, order.version) : history.version;
 		}
-		const bool givesUp = _step.next && _step.store && SwitchPhase::Idle == _step.next->phase;
-		history.givenUp = givesUp ? markOf(_intent) : history.givenUp;
+		const bool abandons = _step.next && _step.store && SwitchPhase::Idle == _step.next->phase;
+		history.givenUp = abandons ? markOf(_intent) : history.givenUp;
 		return history;
 	}
 
@@ -42,7 +42,7 @@
 		SwitchPatience patience = _patience;
 		const BoundaryMark mark = markOf(_intent);
 		const bool switching = SwitchPhase::Switching == _intent.phase;
-		patience.nobodyArmed = switching && mark != _history.foreign && mark != _history.armed;
+		patience.nobodyArmed = switching && mark != _history.inherited && mark != _history.armed;
 		patience.giveUp = patience.giveUp || (switching && mark == _history.givenUp);
 		return patience;
 	}
@@ -55,8 +55,8 @@
 		intent.version = std::max(voidingVersion(_idle), _used + 1);
 		intent.boundary = _idle.epoch == _epoch ? _idle.boundary : 0;
 		intent.map = std::move(_map);
-		const bool left = intent.version < (_idle.term + 1) * kVersionsPerTerm;
-		return left ? std::optional(intent) : std::nullopt;
+		const bool versionsLeft = intent.version < (_idle.term + 1) * kVersionsPerTerm;
+		return versionsLeft ? std::optional(intent) : std::nullopt;
 	}
 
 	std::uint64_t voidingVersion(const SwitchIntent& _intent)
--- a/tests/switch_explorer.h
+++ b/tests/switch_explorer.h
@@ -1,7 +1,7 @@
-/// Exhaustive exploration of the forward-only map switch with the real decisions. Orders that
-/// were sent may be carried out at any time, any number of times, in any order, or never, and so
-/// may writes whose condition still holds. Two coordinators act on what each last knew of the
-/// row, so that one that was paused goes on with old knowledge.
+/// Explores all states of the forward-only map switch, using the production decision functions. An order
+/// that was sent may be executed at any time, any number of times, in any order, or never. The same applies
+/// to writes whose condition still holds. Each coordinator acts on the row as it last read it, so one that
+/// was paused continues with stale knowledge.
 #pragma once
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 	class Explorer
 	{
 	public:
-		Explorer(Bounds _bounds, WithoutRule _without)
+		Explorer(Bounds _bounds, DisabledRule _disabledRule)
 		    : bounds(_bounds)
-		    , without(_without)
+		    , disabledRule(_disabledRule)
 		{
 		}
 
@@ -26,12 +26,12 @@
 		{
 			World start;
 			start.ranks.resize(this->bounds.ranks);
-			start.minds.resize(this->bounds.coordinators);
-			if (this->bounds.earlierRow)
+			start.coordinatorStates.resize(this->bounds.coordinators);
+			if (this->bounds.earlierReleaseRow)
 			{
 				constexpr std::uint64_t kVersion = kVersionsPerTerm + 1;
 				start.row = {1, SwitchPhase::Holding, 1, kVersion, 1, 2, {}};
-				start.minds.front() = {true, false, start.row, start.rowVersion, {}, this->unseen()};
+				start.coordinatorStates.front() = {true, false, start.row, start.rowVersion, {}, this->noObservations()};
 				start.ranks.assign(this->bounds.ranks, {0, 0, kVersion, kVersion, 1, 0, 0, 0});
 				start.orders.insert({{0, RankOrderKind::Hold, 1, 0, 2}, 1});
 			}
@@ -61,7 +61,7 @@
 	private:
 		std::uint64_t versionsPerTerm() const
 		{
-			return WithoutRule::VersionsBearTheTerm == this->without ? 0 : kVersionsPerTerm;
+			return DisabledRule::VersionsContainTerm == this->disabledRule ? 0 : kVersionsPerTerm;
 		}
 
 		std::vector<RankView> views(const World& _world, const Row& _intent) const
@@ -73,14 +73,14 @@
 				view.prepared = 0 == engine.prepared ? std::nullopt : std::optional(engine.prepared);
 				view.armed = 0 == engine.armed ? std::nullopt : std::optional(engine.armed);
 				view.held = 0 == engine.held ? std::nullopt : std::optional(engine.held);
-				if (WithoutRule::HoldSeenBeforeArm == this->without && 0 != _intent.boundary)
+				if (DisabledRule::HoldSeenBeforeArm == this->disabledRule && 0 != _intent.boundary)
 				{
 					view.held = _intent.boundary;
 				}
 				const bool anyArmed = std::any_of(_world.ranks.begin(), _world.ranks.end(), [&](const Engine& _engine) {
 					return _engine.armed == _intent.version;
 				});
-				if (WithoutRule::AllArmedBeforeRelease == this->without && SwitchPhase::Switching == _intent.phase && anyArmed)
+				if (DisabledRule::AllArmedBeforeRelease == this->disabledRule && SwitchPhase::Switching == _intent.phase && anyArmed)
 				{
 					view.armed = _intent.version;
 				}
@@ -89,127 +89,127 @@
 			return result;
 		}
 
-		/// The coordinator looks at one rank.
-		void lookAtRank(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		/// The coordinator observes one rank.
+		void observeRank(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			const std::vector<RankView> views = this->views(_world, mind.intent);
-			for (std::size_t rank = 0; mind.acting && this->bounds.lateSights && rank < views.size(); ++rank)
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			const std::vector<RankView> views = this->views(_world, state.intent);
+			for (std::size_t rank = 0; state.acting && this->bounds.delayedObservations && rank < views.size(); ++rank)
 			{
 				World next = _world;
-				next.minds[_mind].sights[rank] = views[rank];
+				next.coordinatorStates[_coordinator].observations[rank] = views[rank];
 				_next.push_back(std::move(next));
 			}
 		}
 
-		/// What was seen before the row was read doesn't count.
-		std::vector<RankView> unseen() const
+		/// @returns Empty observations: those made before the row was read don't count.
+		std::vector<RankView> noObservations() const
 		{
-			return std::vector<RankView>(this->bounds.lateSights ? this->bounds.ranks : 0);
+			return std::vector<RankView>(this->bounds.delayedObservations ? this->bounds.ranks : 0);
 		}
 
-		/// A coordinator takes over: reads the row and writes it with its term.
-		void takeOver(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		/// A coordinator takes over: it reads the row and writes it with its own term.
+		void takeOver(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const std::uint64_t term = _mind + 1;
-			if (_world.minds[_mind].acting || _world.row.term >= term)
+			const std::uint64_t term = _coordinator + 1;
+			if (_world.coordinatorStates[_coordinator].acting || _world.row.term >= term)
 			{
 				return;
 			}
 			World next = _world;
 			next.row.term = term;
 			next.rowVersion += 1;
-			next.minds[_mind] = {true, false, next.row, next.rowVersion, historyOf(intentOf(next.row)), this->unseen()};
+			next.coordinatorStates[_coordinator] = {true, false, next.row, next.rowVersion, historyOf(intentOf(next.row)), this->noObservations()};
 			_next.push_back(std::move(next));
 		}
 
-		/// The coordinator looks at the row: it ends when another term is there.
-		void lookAtRow(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		/// The coordinator reads the row, and stops acting when the row has another term.
+		void readRow(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			if (!mind.acting || mind.rowVersion == _world.rowVersion)
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			if (!state.acting || state.rowVersion == _world.rowVersion)
 			{
 				return;
 			}
 			World next = _world;
-			next.minds[_mind].rowVersion = _world.rowVersion;
-			next.minds[_mind].intent = _world.row;
-			next.minds[_mind].sights = this->unseen();
-			next.minds[_mind].acting = _world.row.term == _mind + 1;
+			next.coordinatorStates[_coordinator].rowVersion = _world.rowVersion;
+			next.coordinatorStates[_coordinator].intent = _world.row;
+			next.coordinatorStates[_coordinator].observations = this->noObservations();
+			next.coordinatorStates[_coordinator].acting = _world.row.term == _coordinator + 1;
 			_next.push_back(std::move(next));
 		}
 
-		void begin(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		void begin(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			const bool idle = SwitchPhase::Idle == mind.intent.phase;
-			if (!mind.acting || mind.begun || !idle)
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			const bool idle = SwitchPhase::Idle == state.intent.phase;
+			if (!state.acting || state.planned || !idle)
 			{
 				return;
 			}
 			World next = _world;
-			Mind& changed = next.minds[_mind];
-			changed.begun = true;
+			CoordinatorState& changed = next.coordinatorStates[_coordinator];
+			changed.planned = true;
 			changed.intent.phase = SwitchPhase::Preparing;
-			changed.intent.boundary = mind.intent.epoch == _world.epoch ? mind.intent.boundary : 0;
+			changed.intent.boundary = state.intent.epoch == _world.epoch ? state.intent.boundary : 0;
 			changed.intent.epoch = _world.epoch;
-			changed.intent.version = std::max({mind.intent.version, mind.intent.term * this->versionsPerTerm(), mind.history.version}) + 1;
-			changed.intent.content = mind.intent.term;
+			changed.intent.version = std::max({state.intent.version, state.intent.term * this->versionsPerTerm(), state.history.version}) + 1;
+			changed.intent.content = state.intent.term;
 			_next.push_back(std::move(next));
 		}
 
-		/// What a coordinator goes by, without the rule that is taken out.
-		SwitchHistory remembered(const SwitchHistory& _history) const
+		/// @returns The history that the coordinator uses, with the disabled rule removed from it.
+		SwitchHistory effectiveHistory(const SwitchHistory& _history) const
 		{
 			SwitchHistory history = _history;
-			history.foreign = WithoutRule::OnlyTheWriterGoesBack == this->without ? BoundaryMark() : history.foreign;
-			history.armed = WithoutRule::NoWayBackOnceArmed == this->without ? BoundaryMark() : history.armed;
-			history.givenUp = WithoutRule::NoArmsOnceGoneBack == this->without ? BoundaryMark() : history.givenUp;
+			history.inherited = DisabledRule::OnlyWriterAbandons == this->disabledRule ? BoundaryMark() : history.inherited;
+			history.armed = DisabledRule::NoAbandonAfterArm == this->disabledRule ? BoundaryMark() : history.armed;
+			history.givenUp = DisabledRule::NoArmsAfterAbandon == this->disabledRule ? BoundaryMark() : history.givenUp;
 			return history;
 		}
 
-		void act(const World& _world, std::size_t _mind, bool _giveUp, std::vector<World>& _next) const
+		void act(const World& _world, std::size_t _coordinator, bool _giveUp, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			if (!mind.acting)
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			if (!state.acting)
 			{
 				return;
 			}
-			const SwitchIntent intent = intentOf(mind.intent);
-			const SwitchPatience patience = withHistory({1, _giveUp, true, std::uint32_t(_mind % this->bounds.ranks)}, intent, this->remembered(mind.history));
-			const SwitchStep step = decideSwitch(intent, this->bounds.lateSights ? mind.sights : this->views(_world, mind.intent), patience);
+			const SwitchIntent intent = intentOf(state.intent);
+			const SwitchPatience patience = withHistory({1, _giveUp, true, std::uint32_t(_coordinator % this->bounds.ranks)}, intent, this->effectiveHistory(state.history));
+			const SwitchStep step = decideSwitch(intent, this->bounds.delayedObservations ? state.observations : this->views(_world, state.intent), patience);
 			if (!step.next && step.orders.empty())
 			{
 				return;
 			}
 			World next = _world;
-			next.minds[_mind].history = withStep(mind.history, intent, step);
+			next.coordinatorStates[_coordinator].history = withStep(state.history, intent, step);
 			for (const RankOrderPlan& plan : step.orders)
 			{
-				next.orders.insert({plan, plan.version == intent.version ? mind.intent.content : kNeverTaken});
-				for (std::uint32_t rank = 0; WithoutRule::OneArmedLast == this->without && RankOrderKind::Arm == plan.kind && rank < this->bounds.ranks; ++rank)
+				next.orders.insert({plan, plan.version == intent.version ? state.intent.content : kVoidingContent});
+				for (std::uint32_t rank = 0; DisabledRule::DesignatedRankArmedLast == this->disabledRule && RankOrderKind::Arm == plan.kind && rank < this->bounds.ranks; ++rank)
 				{
-					next.orders.insert({{rank, plan.kind, plan.epoch, plan.version, plan.step}, mind.intent.content});
+					next.orders.insert({{rank, plan.kind, plan.epoch, plan.version, plan.step}, state.intent.content});
 				}
 			}
 			if (step.next)
 			{
 				const bool idle = SwitchPhase::Idle == step.next->phase;
-				const Row row = rowOf(*step.next, idle ? 0 : mind.intent.content);
+				const Row row = rowOf(*step.next, idle ? 0 : state.intent.content);
 				if (step.store)
 				{
-					next.writes.insert({mind.rowVersion, row});
+					next.writes.insert({state.rowVersion, row});
 				}
 				else
 				{
-					next.minds[_mind].intent = row;
+					next.coordinatorStates[_coordinator].intent = row;
 				}
 			}
 			_next.push_back(std::move(next));
 		}
 
-		/// A write is carried out, at once or late; its writer learns of it by reading the row.
-		void carryOutWrites(const World& _world, std::vector<World>& _next) const
+		/// Applies a write, immediately or late; the writer learns of it by reading the row.
+		void applyWrites(const World& _world, std::vector<World>& _next) const
 		{
 			for (const SentWrite& write : _world.writes)
 			{
@@ -223,7 +223,7 @@
 			}
 		}
 
-		void carryOutOrders(const World& _world, std::vector<World>& _next) const
+		void applyOrders(const World& _world, std::vector<World>& _next) const
 		{
 			for (const SentOrder& order : _world.orders)
 			{
@@ -234,19 +234,19 @@
 				}
 				World next = _world;
 				Engine& engine = next.ranks[plan.rank];
-				const bool begun = _world.step >= plan.step;
+				const bool started = _world.step >= plan.step;
 				if (RankOrderKind::Prepare == plan.kind && plan.version > engine.highest && 0 == engine.armed)
 				{
 					engine.highest = plan.version;
 					engine.prepared = plan.version;
 					engine.preparedContent = order.content;
 				}
-				else if (RankOrderKind::Arm == plan.kind && engine.prepared == plan.version && !begun)
+				else if (RankOrderKind::Arm == plan.kind && engine.prepared == plan.version && !started)
 				{
 					engine.armed = plan.version;
 					engine.armedStep = plan.step;
 				}
-				else if (RankOrderKind::Hold == plan.kind && !begun && (0 == engine.held || engine.held == plan.step))
+				else if (RankOrderKind::Hold == plan.kind && !started && (0 == engine.held || engine.held == plan.step))
 				{
 					engine.held = plan.step;
 				}
@@ -263,17 +263,17 @@
 			}
 		}
 
-		/// A hold that nobody owns is released by a coordinator that read the row after it.
-		void releaseStray(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		/// A coordinator that read the row after a hold was observed releases the hold if no switch owns it.
+		void releaseStray(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			const bool fresh = mind.rowVersion == _world.rowVersion;
-			if (!mind.acting || (!fresh && WithoutRule::RowReadAfterStrayHold != this->without))
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			const bool fresh = state.rowVersion == _world.rowVersion;
+			if (!state.acting || (!fresh && DisabledRule::RowReadAfterStrayHoldSeen != this->disabledRule))
 			{
 				return;
 			}
-			// The row as it stands, not what the coordinator means to write.
-			const Row row = fresh ? _world.row : mind.intent;
+			// The stored row, not what the coordinator intends to write.
+			const Row row = fresh ? _world.row : state.intent;
 			for (const RankOrderPlan& plan : releaseStrayHolds(intentOf(row), this->views(_world, row)))
 			{
 				World next = _world;
@@ -282,38 +282,38 @@
 			}
 		}
 
-		/// Taken out: a boundary is moved although the group may still begin the pass on the new map.
-		void moveUnpassed(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		/// With the rule disabled: moves a boundary that the group may still reach on the new map.
+		void moveUnpassedBoundary(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			if (WithoutRule::MovedOnlyOncePassed != this->without || !mind.acting || SwitchPhase::Switching != mind.intent.phase)
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			if (DisabledRule::BoundaryMovedOnlyOncePassed != this->disabledRule || !state.acting || SwitchPhase::Switching != state.intent.phase)
 			{
 				return;
 			}
 			World next = _world;
-			Row row = mind.intent;
+			Row row = state.intent;
 			row.boundary += 1;
-			next.writes.insert({mind.rowVersion, row});
+			next.writes.insert({state.rowVersion, row});
 			_next.push_back(std::move(next));
 		}
 
-		/// Taken out: a coordinator gives a switch up although ranks may be armed.
-		void goBack(const World& _world, std::size_t _mind, std::vector<World>& _next) const
+		/// With the rule disabled: abandons a switch although ranks may be armed.
+		void abandonSwitch(const World& _world, std::size_t _coordinator, std::vector<World>& _next) const
 		{
-			const Mind& mind = _world.minds[_mind];
-			if (WithoutRule::NoWayBackWhileSwitching != this->without || !mind.acting || SwitchPhase::Switching != mind.intent.phase)
+			const CoordinatorState& state = _world.coordinatorStates[_coordinator];
+			if (DisabledRule::NoAbandonWhileSwitching != this->disabledRule || !state.acting || SwitchPhase::Switching != state.intent.phase)
 			{
 				return;
 			}
 			World next = _world;
-			Row row = mind.intent;
+			Row row = state.intent;
 			row.phase = SwitchPhase::Idle;
-			next.writes.insert({mind.rowVersion, row});
+			next.writes.insert({state.rowVersion, row});
 			_next.push_back(std::move(next));
 		}
 
-		/// All ranks begin the next pass together, unless one holds it.
-		void beginPass(const World& _world, std::vector<World>& _next) const
+		/// All ranks start the next step together, unless one of them holds it.
+		void startStep(const World& _world, std::vector<World>& _next) const
 		{
 			const std::uint64_t step = _world.step + 1;
 			if (step > this->bounds.steps)
@@ -358,30 +358,30 @@
 		std::vector<World> successors(const World& _world) const
 		{
 			std::vector<World> next;
-			for (std::size_t mind = 0; mind < _world.minds.size(); ++mind)
+			for (std::size_t state = 0; state < _world.coordinatorStates.size(); ++state)
 			{
-				this->takeOver(_world, mind, next);
-				this->lookAtRow(_world, mind, next);
-				this->lookAtRank(_world, mind, next);
-				this->begin(_world, mind, next);
-				this->act(_world, mind, false, next);
-				this->act(_world, mind, true, next);
-				this->releaseStray(_world, mind, next);
-				this->goBack(_world, mind, next);
-				this->moveUnpassed(_world, mind, next);
+				this->takeOver(_world, state, next);
+				this->readRow(_world, state, next);
+				this->observeRank(_world, state, next);
+				this->begin(_world, state, next);
+				this->act(_world, state, false, next);
+				this->act(_world, state, true, next);
+				this->releaseStray(_world, state, next);
+				this->abandonSwitch(_world, state, next);
+				this->moveUnpassedBoundary(_world, state, next);
 			}
-			this->carryOutWrites(_world, next);
-			this->carryOutOrders(_world, next);
-			this->beginPass(_world, next);
+			this->applyWrites(_world, next);
+			this->applyOrders(_world, next);
+			this->startStep(_world, next);
 			this->formAnew(_world, next);
 			for (World& world : next)
 			{
-				forget(world);
+				normalize(world);
 			}
 			return next;
 		}
 
 		Bounds bounds;
-		WithoutRule without;
+		DisabledRule disabledRule;
 	};
 } // namespace archdyke::tests
--- a/tests/switch_world.h
+++ b/tests/switch_world.h
@@ -1,5 +1,5 @@
-/// What the exploration of the forward-only map switch walks over: the row, the ranks' engines, orders and
-/// writes that were sent, and what each coordinator believes.
+/// State of the model that the exploration of the forward-only map switch searches: the row, the engines,
+/// the orders and writes in flight, and the knowledge of each coordinator.
 #pragma once
 
 #include <algorithm>
@@ -12,33 +12,33 @@
 
 namespace archdyke::tests
 {
-	/// Rules that can be taken out, to see that the exploration finds the fault then.
-	enum class WithoutRule
+	/// Protocol rules that can be disabled one at a time to check that the exploration finds the resulting fault.
+	enum class DisabledRule
 	{
 		None,
 		HoldSeenBeforeArm,
 		AllArmedBeforeRelease,
-		NoWayBackWhileSwitching,
-		RowReadAfterStrayHold,
-		VersionsBearTheTerm,
-		OnlyTheWriterGoesBack,
-		NoArmsOnceGoneBack,
-		NoWayBackOnceArmed,
-		MovedOnlyOncePassed,
-		OneArmedLast
+		NoAbandonWhileSwitching,
+		RowReadAfterStrayHoldSeen,
+		VersionsContainTerm,
+		OnlyWriterAbandons,
+		NoArmsAfterAbandon,
+		NoAbandonAfterArm,
+		BoundaryMovedOnlyOncePassed,
+		DesignatedRankArmedLast
 	};
 
-	/// Stands for a map that is prepared to void a switch, and never armed.
-	constexpr std::uint64_t kNeverTaken = 99;
+	/// Content of a map that is prepared only to void a switch and is never armed.
+	constexpr std::uint64_t kVoidingContent = 99;
 
-	/// The row without the map: the map is told by the version and the writer's term.
+	/// The row, with `content` in place of the map. The map is identified by the version and the writer's term.
 	struct Row
 	{
 		std::uint64_t term = 0;
 		SwitchPhase phase = SwitchPhase::Idle;
 		std::uint64_t epoch = 1;
 		std::uint64_t version = 0;
-		std::uint64_t content = 0; ///< Stands for the map itself.
+		std::uint64_t content = 0; ///< Represents the map.
 		std::uint64_t boundary = 0;
 		std::optional<std::uint32_t> last;
 
@@ -75,27 +75,27 @@
 		auto operator<=>(const SentWrite&) const = default;
 	};
 
-	/// What one coordinator believes. begun: it planned its one map.
-	struct Mind
+	/// What one coordinator knows.
+	struct CoordinatorState
 	{
 		bool acting = false;
-		bool begun = false;
+		bool planned = false; ///< It has planned its only switch.
 		Row intent;
 		std::uint64_t rowVersion = 0;
 		SwitchHistory history;
-		std::vector<RankView> sights; ///< Each rank as last looked at; empty where sights are never late.
+		std::vector<RankView> observations; ///< Each rank as last observed; empty if observations are never delayed.
 
-		auto operator<=>(const Mind&) const = default;
+		auto operator<=>(const CoordinatorState&) const = default;
 	};
 
 	struct World
 	{
 		std::uint64_t epoch = 1;
-		std::uint64_t step = 1; ///< Last pass that the group began.
+		std::uint64_t step = 1; ///< Last step that the group started.
 		std::vector<Engine> ranks;
 		Row row;
 		std::uint64_t rowVersion = 1;
-		std::vector<Mind> minds;
+		std::vector<CoordinatorState> coordinatorStates;
 		std::set<SentOrder> orders;
 		std::set<SentWrite> writes;
 		bool split = false;
@@ -109,8 +109,8 @@
 		std::uint64_t steps = 3;
 		std::uint64_t epochs = 1;
 		std::uint32_t coordinators = 2;
-		bool lateSights = false; ///< Each rank is looked at apart, and what was seen may be old.
-		bool earlierRow = false; ///< The first coordinator begins with a row that says Holding, of an earlier release.
+		bool delayedObservations = false; ///< Ranks are observed one by one, and observations may be stale.
+		bool earlierReleaseRow = false;   ///< The initial row was written by an earlier release, in phase Holding.
 	};
 
 	inline SwitchIntent intentOf(const Row& _row)
@@ -130,8 +130,8 @@
 		return {_intent.term, _intent.phase, _intent.epoch, _intent.version, _content, _intent.boundary, _intent.last};
 	}
 
-	/// Orders that are refused for good.
-	inline bool isVoid(const SentOrder& _order, const World& _world)
+	/// @returns Whether the engine will always refuse the order from now on.
+	inline bool isObsolete(const SentOrder& _order, const World& _world)
 	{
 		const Engine& engine = _world.ranks[_order.plan.rank];
 		const bool prepares = RankOrderKind::Prepare == _order.plan.kind;
@@ -140,22 +140,22 @@
 		return late || _order.plan.epoch != _world.epoch;
 	}
 
-	/// Forgets what can't have an effect any more, so that worlds that go on alike are one.
-	inline void forget(World& _world)
+	/// Removes what can't have an effect any more, so that equivalent worlds compare equal.
+	inline void normalize(World& _world)
 	{
 		std::erase_if(_world.orders, [&](const SentOrder& _order) {
-			return isVoid(_order, _world);
+			return isObsolete(_order, _world);
 		});
 		std::erase_if(_world.writes, [&](const SentWrite& _write) {
 			return _write.expected < _world.rowVersion;
 		});
-		for (Mind& mind : _world.minds)
+		for (CoordinatorState& state : _world.coordinatorStates)
 		{
-			mind = mind.acting ? mind : Mind();
-			for (BoundaryMark* mark : {&mind.history.foreign, &mind.history.armed, &mind.history.givenUp})
+			state = state.acting ? state : CoordinatorState();
+			for (BoundaryMark* mark : {&state.history.inherited, &state.history.armed, &state.history.givenUp})
 			{
-				const bool over = mark->version < mind.intent.version || mark->step < mind.intent.boundary;
-				*mark = over ? BoundaryMark() : *mark; // versions and boundaries only rise
+				const bool over = mark->version < state.intent.version || mark->step < state.intent.boundary;
+				*mark = over ? BoundaryMark() : *mark; // versions and boundaries only increase
 			}
 		}
 	}
--- a/tests/test_forward_switch.cpp
+++ b/tests/test_forward_switch.cpp
@@ -1,4 +1,4 @@
-/// Single decisions of the forward-only map switch.
+/// Tests single decisions of the forward-only map switch.
 #include "archdyke/errors.h"
 #include "archdyke/forward_switch.h"
 #include "check.h"
@@ -7,7 +7,7 @@
 
 namespace
 {
-	/// A switch to version 5 at pass 10.
+	/// @returns A switch to version 5 at step 10.
 	SwitchIntent switchingIntent()
 	{
 		SwitchIntent intent;
@@ -49,7 +49,7 @@
 	intent.map = intent.inForce;
 	intent.map[3][17] = {1, 2, 3};
 	cr_assert(decodeIntent(encodeIntent(intent)) == intent);
-	// Three bytes an expert for the map in force, one for each that stays, and the head.
+	// Three bytes per expert for the map in force, one per unchanged expert, and the head.
 	cr_assert(encodeIntent(intent).size() < 8 * 252 * 4 + 300);
 }
 
@@ -65,8 +65,8 @@
 	cr_assert(!decideSwitch(intent, {past, RankView()}, {3, false}).next);
 }
 
-/// The hold needs no further write once its row says all that is needed: a store out of reach between
-/// two writes would hold the group for as long.
+/// The row must contain everything needed before the hold. If a write were needed during the hold, the group
+/// would stall for as long as the store is unreachable.
 Test(forward, the_row_says_that_it_switches_before_the_group_is_held)
 {
 	SwitchIntent intent;
@@ -83,37 +83,37 @@
 	cr_assert(!arms.next && 2 == arms.orders.size() && RankOrderKind::Arm == arms.orders.front().kind);
 }
 
-/// A store that refused the write which gives the switch up may still do it: arms would meet a
-/// row that says nothing of them.
+/// A write that abandons the switch may take effect after the store reported a failure. Arms sent in between
+/// would belong to a switch that the row no longer contains.
 Test(forward, a_switch_that_was_given_up_gives_no_arms)
 {
 	SwitchIntent intent = switchingIntent();
 	const RankView holding{true, 1, true, 9, 0, 5, {}, 10};
-	const SwitchPatience out{3, true, false, {}};
-	const SwitchStep gives = decideSwitch(intent, {holding, RankView()}, withHistory(out, intent, {}));
-	const SwitchHistory history = withStep({}, intent, gives);
-	const SwitchStep again = decideSwitch(intent, {holding, holding}, withHistory({3, false}, intent, history));
-	cr_assert(again.next && again.orders.empty() && SwitchPhase::Idle == again.next->phase);
-	// Who takes the row over carries it on.
+	const SwitchPatience timedOut{3, true, false, {}};
+	const SwitchStep abandons = decideSwitch(intent, {holding, RankView()}, withHistory(timedOut, intent, {}));
+	const SwitchHistory history = withStep({}, intent, abandons);
+	const SwitchStep repeated = decideSwitch(intent, {holding, holding}, withHistory({3, false}, intent, history));
+	cr_assert(repeated.next && repeated.orders.empty() && SwitchPhase::Idle == repeated.next->phase);
+	// A coordinator that takes over the row continues the switch.
 	const SwitchStep next = decideSwitch(intent, {holding, holding}, withHistory({3, true}, intent, historyOf(intent)));
 	cr_assert(!next.next && 2 == next.orders.size());
 }
 
-/// Once one rank is armed there is no way back, and the group stands until the rank that is out of reach is
-/// armed too. Before that the hold can be given up.
+/// Once one rank is armed the switch can't be abandoned, and the group stalls until the unreachable rank is armed
+/// too. Before that the hold can be abandoned.
 Test(forward, a_hold_with_a_rank_out_of_reach_is_given_up_before_any_rank_is_armed)
 {
 	SwitchIntent intent = switchingIntent();
 	const std::vector<RankView> ranks{{true, 1, true, 9, 0, 5, {}, 10}, RankView()};
 	const SwitchStep waits = decideSwitch(intent, ranks, withHistory({3, false, false, {}}, intent, {}));
 	cr_assert(!waits.next && waits.orders.empty());
-	const SwitchStep gives = decideSwitch(intent, ranks, withHistory({3, true, false, {}}, intent, {}));
-	cr_assert(gives.next && gives.store && SwitchPhase::Idle == gives.next->phase && 10 == gives.next->boundary);
-	cr_assert(1 == releaseStrayHolds(*gives.next, ranks).size());
+	const SwitchStep abandons = decideSwitch(intent, ranks, withHistory({3, true, false, {}}, intent, {}));
+	cr_assert(abandons.next && abandons.store && SwitchPhase::Idle == abandons.next->phase && 10 == abandons.next->boundary);
+	cr_assert(1 == releaseStrayHolds(*abandons.next, ranks).size());
 }
 
-/// The last rank to be armed is the coordinator's own. When its VM is out of reach the group would stand until
-/// it is back; the others void the switch instead, as no arm of the last rank can have come first.
+/// The last rank to be armed is on the coordinator's VM. If that VM is unreachable, the group would stall until it
+/// returns. Instead the switch is voided on the other ranks: as they are unarmed, the last one is too.
 Test(forward, a_switch_whose_last_rank_is_out_of_reach_is_voided)
 {
 	SwitchIntent intent = switchingIntent();
@@ -122,27 +122,27 @@
 	const std::uint64_t voids = voidingVersion(intent);
 	RankView holding{true, 1, true, 9, 0, 5, {}, 10};
 	RankView copied{true, 1, true, 9, 0, 5, {}, {}};
-	const SwitchPatience out = withHistory({3, true, false, {}}, intent, historyOf(intent));
-	const SwitchStep begins = decideSwitch(intent, {holding, copied, RankView()}, out);
-	const std::vector<RankOrderPlan> anew{{0, RankOrderKind::Prepare, 1, voids, 0}, {1, RankOrderKind::Prepare, 1, voids, 0}};
-	cr_assert(!begins.next && anew == begins.orders);
+	const SwitchPatience timedOut = withHistory({3, true, false, {}}, intent, historyOf(intent));
+	const SwitchStep startsVoiding = decideSwitch(intent, {holding, copied, RankView()}, timedOut);
+	const std::vector<RankOrderPlan> preparesAgain{{0, RankOrderKind::Prepare, 1, voids, 0}, {1, RankOrderKind::Prepare, 1, voids, 0}};
+	cr_assert(!startsVoiding.next && preparesAgain == startsVoiding.orders);
 	SwitchIntent idle;
 	idle.term = intent.term;
-	cr_assert(voids + 1 == beginSwitch(idle, 1, {}, withStep({}, intent, begins).version)->version);
-	// A late arm: it is taken back now that another rank can't be armed.
+	cr_assert(voids + 1 == beginSwitch(idle, 1, {}, withStep({}, intent, startsVoiding).version)->version);
+	// A delayed arm order took effect: the rank is disarmed, since another rank can't be armed any more.
 	RankView armed = copied;
 	armed.armed = 5;
 	holding.prepared = voids;
-	const SwitchStep disarms = decideSwitch(intent, {holding, armed, RankView()}, out);
+	const SwitchStep disarms = decideSwitch(intent, {holding, armed, RankView()}, timedOut);
 	cr_assert(1 == disarms.orders.size() && RankOrderKind::Disarm == disarms.orders.front().kind && 1 == disarms.orders.front().rank);
 	copied.prepared = voids;
-	const SwitchStep ends = decideSwitch(intent, {holding, copied, RankView()}, out);
-	cr_assert(ends.next && ends.store && SwitchPhase::Idle == ends.next->phase && voids == ends.next->version);
-	cr_assert(1 == releaseStrayHolds(*ends.next, {holding, copied, RankView()}).size());
+	const SwitchStep finishes = decideSwitch(intent, {holding, copied, RankView()}, timedOut);
+	cr_assert(finishes.next && finishes.store && SwitchPhase::Idle == finishes.next->phase && voids == finishes.next->version);
+	cr_assert(1 == releaseStrayHolds(*finishes.next, {holding, copied, RankView()}).size());
 }
 
-/// With the first arm the switch can't be voided any more. Given while a rank is out of reach, it makes the
-/// group stand until that rank is back.
+/// After the first arm the switch can't be voided any more. If it is sent while a rank is unreachable, the group
+/// stalls until that rank returns.
 Test(forward, a_coordinator_that_takes_over_gives_no_first_arm_while_a_rank_is_out_of_reach)
 {
 	SwitchIntent intent = switchingIntent();
@@ -150,22 +150,22 @@
 	intent.last = 2;
 	const RankView holding{true, 1, true, 9, 0, 5, {}, 10};
 	RankView copied{true, 1, true, 9, 0, 5, {}, {}};
-	const SwitchPatience taken = withHistory({3, false, false, {}}, intent, historyOf(intent));
-	cr_assert(decideSwitch(intent, {holding, copied, RankView()}, taken) == SwitchStep());
-	cr_assert(decideSwitch(intent, {holding, RankView(), RankView()}, taken) == SwitchStep(), "nor to the first one seen");
+	const SwitchPatience afterTakeOver = withHistory({3, false, false, {}}, intent, historyOf(intent));
+	cr_assert(decideSwitch(intent, {holding, copied, RankView()}, afterTakeOver) == SwitchStep());
+	cr_assert(decideSwitch(intent, {holding, RankView(), RankView()}, afterTakeOver) == SwitchStep(), "nor to the first one seen");
 	const SwitchPatience all = withHistory({3, false, true, {}}, intent, historyOf(intent));
 	cr_assert(2 == decideSwitch(intent, {holding, copied, copied}, all).orders.size());
 	copied.armed = 5;
-	cr_assert(1 == decideSwitch(intent, {holding, copied, RankView()}, taken).orders.size(), "one is armed: there is no way back");
+	cr_assert(1 == decideSwitch(intent, {holding, copied, RankView()}, afterTakeOver).orders.size(), "one is armed: the switch can't be abandoned");
 }
 
-Test(forward, a_switch_with_an_armed_rank_is_not_voided_behind_it)
+Test(forward, a_switch_with_an_armed_rank_is_not_voided)
 {
 	SwitchIntent intent = switchingIntent();
 	intent.last = 1;
 	const RankView armed{true, 1, true, 9, 0, 5, 5, 10};
-	const SwitchPatience out = withHistory({3, true, false, {}}, intent, historyOf(intent));
-	cr_assert(decideSwitch(intent, {armed, RankView()}, out) == SwitchStep());
+	const SwitchPatience timedOut = withHistory({3, true, false, {}}, intent, historyOf(intent));
+	cr_assert(decideSwitch(intent, {armed, RankView()}, timedOut) == SwitchStep());
 }
 
 Test(forward, the_last_rank_is_armed_once_all_others_are_seen_to_be)
