--- a/include/archdyke/map_policy.h
+++ b/include/archdyke/map_policy.h
@@ -1,4 +1,4 @@
-/// When another expert map pays for a group, and which.
+/// Decides whether a group should switch to another expert map, and plans that map.
 #pragma once
 
 #include <cstdint>
@@ -8,46 +8,46 @@
 
 namespace archdyke
 {
-	/// Length of the window of counts that a map is planned from, ms. A hot expert lasts 1 to
-	/// 4 s, and what it drew 0.5 s ago tells less than what it draws now.
+	/// Length of the window of counts that a map is planned from, ms. An expert stays hot for 1 to 4 s, so
+	/// counts from 0.5 s ago are less relevant than current ones.
 	constexpr Millis kCountWindowMs = 200;
 
-	/// Time that the copies of one rank may take in a switch, ms; the rank with most of them is the time of
-	/// the copying. Beside its copies a switch takes some 380: where an expert takes 76 ms, three a rank
-	/// follow topics that come up every 3.5 s with 14 switches in 48 s, and one with 23 to 38, each of which
-	/// may leave the group standing; with six skew is over 1 for a quarter of the time, not a fifth.
+	/// Maximum copying time of one rank in a switch, ms; the rank with the most copies determines the copying
+	/// time of the group. The rest of a switch takes about 380 ms. With 76 ms per expert and a new topic every
+	/// 3.5 s, three copies per rank need 14 switches in 48 s and one copy needs 23 to 38, each of which may stall
+	/// the group; with six copies skew exceeds 1 for a quarter of the time instead of a fifth.
 	constexpr double kCopyBudgetMs = 240.0;
 
-	/// How long the passes of a group are, and how long they may be.
+	/// Duration of the passes of a group, and its objective.
 	struct PassPressure
 	{
-		double passMs = 0.0;       ///< Mean of the last ones; 0 when unknown.
+		double passMs = 0.0;       ///< Mean of the last passes; 0 when unknown.
 		Millis gapObjectiveMs = 0; ///< Longest pause between events of a stream; 0 when none is declared.
 
 		bool operator==(const PassPressure&) const = default;
 	};
 
-	/// What was decided on the map of a group.
+	/// A decision on the map of a group.
 	struct MapDecision
 	{
 		bool worthwhile = false;
 		ExpertHosts hosts;
 		double skewBefore = 0.0; ///< See skewOf.
 		double skewAfter = 0.0;
-		std::uint32_t copies = 0; ///< Experts that ranks must copy.
+		std::uint32_t copies = 0; ///< Number of experts that ranks must copy.
 
 		bool operator==(const MapDecision&) const = default;
 	};
 
-	/// Plans a map within what ranks can copy at once, and tells whether the switch pays.
+	/// Plans a map within the copy limits of a switch, and decides whether the switch is worthwhile.
 	/// @param[in] _hosts The map in use.
-	/// @param[in] _load Choices of the last window.
-	/// @param[in] _paces By rank, time of a step against the declared one; empty: all 1. All
-	/// ranks wait for the slowest, so a slow one is given less.
-	/// @param[in] _copyBudgetMs Time that the copies of one rank may take.
+	/// @param[in] _load Expert choices counted in the last window.
+	/// @param[in] _paces By rank, step time relative to the declared one; empty: all 1. All ranks wait for the
+	/// slowest, so a slow rank gets less load.
+	/// @param[in] _copyBudgetMs Maximum copying time of one rank.
 	MapDecision decideMap(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const PassPressure& _pressure, const std::vector<double>& _paces = {}, double _copyBudgetMs = kCopyBudgetMs);
 
-	/// @returns Skew that is tolerated: the more, the shorter the passes are against the
-	/// objective, since copies are paid for and short passes serve nobody better.
+	/// @returns The tolerated skew. It increases as passes get shorter relative to the objective, since copies have
+	/// a cost and passes within the objective bring no benefit by being shorter.
 	double toleratedSkew(const PassPressure& _pressure);
 } // namespace archdyke
--- a/include/archdyke/map_window.h
+++ b/include/archdyke/map_window.h
@@ -1,4 +1,4 @@
-/// Choices of experts over the last moments, gathered from samples of the ranks of a group.
+/// Expert choices in a sliding window, collected from samples of the ranks of a group.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace archdyke
 {
-	/// What the requests of one rank chose between two moments, set by set.
+	/// Expert choices of the requests of one rank in an interval, set by set.
 	struct ChoicePiece
 	{
 		Millis from = 0;
@@ -22,27 +22,26 @@
 		bool operator==(const ChoicePiece&) const = default;
 	};
 
-	/// Pieces of the last moments, oldest first.
+	/// Samples of the window, oldest first.
 	struct ChoiceWindow
 	{
 		std::deque<ChoicePiece> pieces;
 	};
 
-	/// @returns What was chosen between two counts of a rank, that each begin with its start; none when one
-	/// went back: the rank has started anew, and its choices since then aren't those of the time between.
+	/// @returns The choices between two cumulative counts of a rank; none if a count decreased: the rank has
+	/// restarted, so its count doesn't cover the interval.
 	std::optional<std::vector<std::uint32_t>> choicesBetween(const std::vector<std::uint32_t>& _before, const std::vector<std::uint32_t>& _after);
 
-	/// Adds a piece; pieces of another epoch are forgotten, and those that ended before the window.
+	/// Adds a sample. Removes all samples of another epoch, and those that ended before the window.
 	void addPiece(ChoiceWindow& _window, ChoicePiece _piece, Millis _windowMs);
 
-	/// @param[in] _experts Experts of a set.
-	/// @returns Choices in about the last _windowMs, by set and expert; none before pieces
-	/// span the window.
+	/// @param[in] _experts Experts per set.
+	/// @returns Choices in about the last _windowMs, by set and expert; none until the samples span the window.
 	std::optional<ExpertLoad> loadOf(const ChoiceWindow& _window, std::uint32_t _experts, Millis _windowMs);
 
-	/// @returns The map that a group forms with: experts dealt to the ranks in turn.
+	/// @returns The initial map of a group: experts assigned to the ranks round-robin.
 	ExpertHosts dealtInTurn(std::uint32_t _sets, std::uint32_t _experts, std::uint32_t _ranks);
 
-	/// @returns By set and rank, the experts.
+	/// @returns The experts by set and rank.
 	std::vector<std::vector<std::vector<std::uint32_t>>> expertsByRank(const ExpertHosts& _hosts, std::uint32_t _ranks);
 } // namespace archdyke
--- a/include/archdyke/mapswitch.h
+++ b/include/archdyke/mapswitch.h
@@ -1,13 +1,13 @@
-/// One expert map in every step: how the agents of a group agree on a switch.
+/// Commit protocol by which the agents of a group agree on a map switch, so that all ranks use one expert map
+/// in every step.
 ///
-/// A planner proposes "from step N on, map e+1". Each agent has its engine rank armed for
-/// the proposal (the rank then holds at N until it is released) or refuse it for good, and
-/// votes accordingly. All yes commits, one no aborts. Whoever has seen the votes that
-/// decide releases its rank and hands the votes on, so that after the proposal neither the
-/// planner nor the platform is needed.
+/// A planner proposes "from step N on, map e+1". Each agent makes its engine rank either arm for the proposal
+/// (the rank then holds at N until it is released) or refuse it permanently, and votes accordingly. If all vote
+/// yes, the proposal commits; a single no aborts it. An agent that has received the deciding votes releases its
+/// rank and forwards the votes, so after the proposal neither the planner nor the platform is needed.
 ///
-/// A vote is a fact about the engine, not about the agent: an agent that starts anew finds
-/// its vote by asking the engine.
+/// Votes are derived from the state of the engine, not of the agent: an agent that restarts recovers its vote by
+/// querying the engine.
 #pragma once
 
 #include <cstdint>
@@ -25,8 +25,8 @@
 		Count
 	};
 
-	/// What a planner proposes. Numbers of proposals of a group never repeat and rise with
-	/// the planner's fence.
+	/// A proposal of a planner. Proposal numbers of a group are never reused and increase with the planner's fencing
+	/// token.
 	struct MapProposal
 	{
 		std::string group;
@@ -41,15 +41,15 @@
 		auto operator<=>(const MapProposal&) const = default;
 	};
 
-	/// What an engine rank says of itself.
+	/// State reported by an engine rank.
 	struct RankState
 	{
 		std::uint64_t formation = 0;
 		std::uint64_t epoch = 0;
 		std::uint64_t step = 0;
-		std::uint64_t armed = 0;   ///< Number of the proposal it is armed for; 0 for none.
-		std::uint64_t floor = 0;   ///< It arms for no proposal up to this number.
-		std::uint64_t decided = 0; ///< Last proposal it was released from.
+		std::uint64_t armed = 0;   ///< Number of the proposal that it is armed for; 0: none.
+		std::uint64_t floor = 0;   ///< It refuses all proposals up to this number.
+		std::uint64_t decided = 0; ///< Last proposal that it was released from.
 		bool decidedCommit = false;
 
 		auto operator<=>(const RankState&) const = default;
@@ -66,14 +66,14 @@
 	/// @returns The name used in logs.
 	std::string_view toString(MapOutcome _outcome);
 
-	/// What one agent knows of the latest proposal.
+	/// What one agent knows about the latest proposal.
 	struct MapSwitch
 	{
 		std::uint32_t rank = 0;
 		std::uint64_t highestFence = 0;
 		std::optional<MapProposal> proposal;
 		std::vector<MapVote> votes; ///< By rank.
-		bool released = false;      ///< The engine took the outcome.
+		bool released = false;      ///< The engine has applied the outcome.
 
 		bool operator==(const MapSwitch&) const = default;
 	};
@@ -82,39 +82,39 @@
 	enum class RankOrder
 	{
 		None,
-		Arm,    ///< For the proposal.
-		Refuse, ///< The proposal, for good.
-		Commit, ///< Release it onto the new map.
-		Abort,  ///< Release it on the old map.
+		Arm,    ///< Arm for the proposal.
+		Refuse, ///< Refuse the proposal permanently.
+		Commit, ///< Release the rank onto the new map.
+		Abort,  ///< Release the rank on the old map.
 		Count
 	};
 
-	/// Why a proposal isn't taken.
+	/// Why a proposal is refused.
 	enum class ProposalRefusal
 	{
 		None,
-		OldFence,  ///< A planner with a higher fence has spoken.
+		OldFence,  ///< A proposal with a higher fencing token was received.
 		OldNumber, ///< A later proposal is known.
-		Busy,      ///< An earlier one is open.
+		Busy,      ///< An earlier proposal is still open.
 		Count
 	};
 
-	/// Takes in a proposal, from a planner or from the agent of another rank.
+	/// Processes a proposal from a planner or from the agent of another rank.
 	ProposalRefusal hearProposal(MapSwitch& _switch, const MapProposal& _proposal);
 
-	/// Takes in what the engine rank says of itself: finds this rank's own vote.
+	/// Processes the state reported by the engine rank and derives the rank's own vote from it.
 	void hearRank(MapSwitch& _switch, const RankState& _rank);
 
-	/// Takes in votes that another agent knows.
+	/// Merges votes that another agent forwarded.
 	void hearVotes(MapSwitch& _switch, std::uint64_t _number, const std::vector<MapVote>& _votes);
 
-	/// @returns What the votes decide.
+	/// @returns The outcome that the votes imply.
 	MapOutcome outcomeOf(const MapSwitch& _switch);
 
-	/// @returns The next order for the engine rank, whose state was just read. Only an
-	/// agent that knows the outcome releases its rank.
+	/// @returns The next order for the engine rank, given its current state. An agent releases its rank only once
+	/// it knows the outcome.
 	RankOrder nextOrder(const MapSwitch& _switch, const RankState& _rank);
 
-	/// @returns Whether the switch is open or its rank not yet released.
+	/// @returns Whether the switch is open or the rank hasn't been released yet.
 	bool isPending(const MapSwitch& _switch);
 } // namespace archdyke
--- a/include/archdyke/switch_worth.h
+++ b/include/archdyke/switch_worth.h
@@ -1,11 +1,11 @@
-/// Whether a switch of the expert map serves callers better than going on with the map in use.
+/// Estimates whether switching the expert map serves callers better than keeping the map in use.
 ///
-/// Answers the load of full groups under shifts of demand. A switch makes passes longer while experts
-/// are copied, and its hold is a pause in all streams of the group; what it saves lasts until demand
-/// has changed. Both sides are counted in streams: a pass over the longest pause that callers accept
-/// makes the running streams late, and a pass within it serves nobody better by being shorter. Skew of
-/// one window is in part chance: how much of a planned saving later windows show is learnt from the
-/// group's own counts, also by plans that weren't carried out.
+/// Matters for fully loaded groups when demand shifts. A switch lengthens passes while experts are copied,
+/// and its hold pauses all streams of the group; the saving lasts until demand changes again. Cost and
+/// saving are both measured in streams: a pass longer than the longest pause that callers accept makes the
+/// running streams late, while a pass within it brings no benefit by being shorter. The skew of a single
+/// window is partly random, so the share of a planned saving that persists is learned from later counts of
+/// the group, also for plans that weren't executed.
 #pragma once
 
 #include <array>
@@ -22,132 +22,135 @@
 
 namespace archdyke
 {
-	/// Ages at which a plan is compared with what demand has become, ms. The last one is several lives of a
-	/// stream: what a switch saves after that can't be told from now.
+	/// Ages at which a plan is compared with the current demand, ms. The last one is several stream durations;
+	/// savings beyond it can't be predicted.
 	constexpr std::array<Millis, 6> kSavingAges{250, 500, 1'000, 2'000, 4'000, 8'000};
 
-	/// What a plan would have saved, as later counts show.
+	/// A plan whose saving is evaluated against later counts.
 	struct PlanTrial
 	{
 		Millis at = 0;
 		ExpertHosts before;
 		ExpertHosts after;
-		double planned = 0.0;    ///< Skew that it was to save.
-		std::size_t nextAge = 0; ///< Of kSavingAges.
+		double planned = 0.0;    ///< Skew reduction that was planned.
+		std::size_t nextAge = 0; ///< Index into kSavingAges of the next comparison.
 
 		bool operator==(const PlanTrial&) const = default;
 	};
 
-	/// Moving sums of the skew that plans were to save and did, by their age.
+	/// Decaying sums of planned and actual skew reductions, by age of the plan.
 	struct SavingRecord
 	{
 		std::array<double, kSavingAges.size()> planned{};
 		std::array<double, kSavingAges.size()> saved{};
-		std::deque<PlanTrial> trials; ///< Not yet of the last age, oldest first.
+		std::deque<PlanTrial> trials; ///< Plans that haven't reached the last age, oldest first.
 	};
 
-	/// What is left of a planned saving, and for how long.
+	/// Expected remaining share of a planned saving, and its duration.
 	struct SavingOutlook
 	{
-		double keptShare = 0.0; ///< Of the planned skew, once the switch is over.
-		double lastsMs = 0.0;   ///< From then on, as if it stayed at that share and then ended.
+		double keptShare = 0.0; ///< Of the planned skew reduction, when the switch is complete.
+		double lastsMs = 0.0;   ///< From then on, as if the saving stayed at keptShare and then ended.
 
 		bool operator==(const SavingOutlook&) const = default;
 	};
 
-	/// Starts to follow a plan, unless the last one is too young to tell more.
+	/// Starts to evaluate a plan, unless the previous one was added too recently.
 	void addTrial(SavingRecord& _record, const ExpertHosts& _before, const MapDecision& _plan, Millis _now);
 
-	/// Compares the plans that have come of age with the counts of now.
+	/// Compares the plans that have reached their next age with the current counts.
 	/// @param[in] _paces As in PlacementInput.
 	void takeCounts(SavingRecord& _record, const ExpertLoad& _load, std::uint32_t _ranks, const std::vector<double>& _paces, Millis _now);
 
-	/// @param[in] _streamMs Mean life of a stream. Where little has been seen, demand is expected to
-	/// change as streams end and others take their places.
-	/// @param[in] _delayMs Time until the switch is over.
+	/// Predicts how much of a planned saving remains. With few comparisons so far, demand is expected to change
+	/// as streams end and others replace them.
+	/// @param[in] _streamMs Mean duration of a stream.
+	/// @param[in] _delayMs Time until the switch is complete.
 	SavingOutlook outlookOf(const SavingRecord& _record, double _streamMs, double _delayMs);
 
-	/// What a switch of a group takes.
+	/// Durations of a map switch.
 	struct SwitchTimes
 	{
-		double stoodMs = 0.0;    ///< Longer than a pass, at the boundary.
-		double overheadMs = 0.0; ///< From the plan until in force, without the copies.
+		double stoodMs = 0.0;    ///< Stall at the boundary, beyond the pass itself.
+		double overheadMs = 0.0; ///< From the plan until the map is in force, without the time for copies.
 
 		bool operator==(const SwitchTimes&) const = default;
 	};
 
-	/// Moving means of the switches that were seen.
+	/// Moving means over the observed switches.
 	struct SwitchRecord
 	{
 		SwitchTimes mean;
-		Millis seenAt = 0; ///< The last one; 0: none.
+		Millis seenAt = 0; ///< Time of the last one; 0: none.
 
 		bool operator==(const SwitchRecord&) const = default;
 	};
 
-	/// @returns What the next switch is expected to take: as the last ones, and with time again what the
-	/// engine's figures let expect. Without that, one that stood for long would be the last.
+	/// @returns Expected durations of the next switch: those of the last switches, returning over time to the values
+	/// derived from the engine model. Otherwise no switch would be made any more after one long stall.
 	SwitchTimes expectedTimes(const EngineModel& _model, const SwitchRecord& _record, Millis _now);
 
-	/// Takes in a switch that came into force.
+	/// Records a switch that came into force.
 	void noteSwitch(const EngineModel& _model, SwitchRecord& _record, const SwitchTimes& _seen, Millis _now);
 
-	/// A group as its ranks were last seen.
+	/// Load of a group as its ranks were last observed.
 	struct GroupPressure
 	{
 		PassPressure passes;
-		double active = 0.0;  ///< Requests that are running, mean of the ranks.
-		double waiting = 0.0; ///< Share of the ranks where requests wait for a place.
-		bool leaving = false; ///< A rank drains; the group forms anew with the first map when it ends.
+		double active = 0.0;  ///< Running requests, mean over the ranks.
+		double waiting = 0.0; ///< Share of the ranks with queued requests.
+		bool leaving = false; ///< A rank is draining; once it ends, the group forms anew with the initial map.
 
 		bool operator==(const GroupPressure&) const = default;
 	};
 
-	/// What speaks against a switch.
+	/// The reason against a switch.
 	enum class SwitchDoubt
 	{
 		None,
-		LittleSkew,  ///< Less than is tolerated.
-		NoBetterMap, ///< Within what ranks can copy.
+		LittleSkew,  ///< Skew is below the tolerated one.
+		NoBetterMap, ///< None within the copy limits of the ranks.
 		CostsMore,   ///< It makes more streams late than it keeps in time.
-		NonePays,    ///< The same for any map: not even one without skew or copies would pay. None was planned.
+		NonePays,    ///< Not even a map without skew and without copies would pay off, so none was planned.
 		Count
 	};
 
 	/// @returns The name used in logs.
 	std::string_view toString(SwitchDoubt _doubt);
 
-	/// What a switch is expected to bring, in ms of the group's whole service: the answers that it gives in that
-	/// time if all are in time.
+	/// Estimated benefit and cost of a switch, in ms of full service: the responses that the group gives in that
+	/// time if all of them are in time.
 	struct SwitchWorth
 	{
 		double savedMs = 0.0;
 		double costMs = 0.0;
-		double expectedMs = 0.0; ///< How long the saving is expected to last.
-		double keptShare = 0.0;  ///< Of the planned saving, see SavingOutlook.
-		double madeLate = 0.0;   ///< Probability that it makes a running stream late that is in time so far.
-		double copyMs = 0.0;     ///< Time of the copies of the rank with most of them.
+		double expectedMs = 0.0; ///< Expected duration of the saving.
+		double keptShare = 0.0;  ///< Of the planned saving; see SavingOutlook.
+		double madeLate = 0.0;   ///< Probability that the switch makes a running stream late that has been in time so far.
+		double copyMs = 0.0;     ///< Copying time of the rank with the most copies.
 
 		bool operator==(const SwitchWorth&) const = default;
 	};
 
-	/// @returns Whether switches of a group can be weighed, and copies take long enough for it; else skew alone decides.
+	/// @returns Whether cost and benefit of switches can be estimated and copies take long enough for it to matter;
+	/// otherwise skew alone decides.
 	bool isWeighed(const EngineModel& _model, Millis _gapObjectiveMs);
 
-	/// @param[in] _copyMs Time of the copies of the rank with most of them.
+	/// Estimates benefit and cost of a planned switch.
+	/// @param[in] _copyMs Copying time of the rank with the most copies.
 	SwitchWorth worthOf(const EngineModel& _model, const GroupPressure& _group, const MapDecision& _plan, double _copyMs, const SavingRecord& _record, const SwitchTimes& _times);
 
-	/// What was decided, and why.
+	/// A decision, with its reason.
 	struct SwitchChoice
 	{
-		SwitchDoubt doubt = SwitchDoubt::LittleSkew; ///< None: switch.
+		SwitchDoubt doubt = SwitchDoubt::LittleSkew; ///< None: make the switch.
 		MapDecision plan;
 		SwitchWorth worth;
 
 		bool operator==(const SwitchChoice&) const = default;
 	};
 
-	/// Plans a large switch and a small one that takes the largest savings alone, and chooses the one that
-	/// serves more. Follows what is planned in the record.
+	/// Plans a large switch and a small one limited to the largest savings, and chooses the one with the greater
+	/// benefit. Adds the large plan to the record.
 	SwitchChoice chooseSwitch(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const GroupPressure& _group, const std::vector<double>& _paces, const SwitchRecord& _switches, SavingRecord& _record, Millis _now);
 } // namespace archdyke
--- a/src/decide/map_policy.cpp
+++ b/src/decide/map_policy.cpp
@@ -6,26 +6,24 @@
 {
 	namespace
 	{
-		/// Skew below which a map is left alone: a pass is then this share of the experts' work
-		/// longer than it need be.
+		/// Skew below which the map is always kept: the expert part of a pass is at most this share longer than with
+		/// even load.
 		constexpr double kSkewTolerance = 0.15;
-		/// Tolerated skew where passes take no time against the objective. A hot expert takes
-		/// skew from near 0 to 2 within some passes, so more would come too late.
+		/// Tolerated skew for passes that are negligibly short against the objective. A hot expert raises skew from
+		/// near 0 to 2 within a few passes, so with a higher value the switch would come too late.
 		constexpr double kMostTolerated = 1.2;
-		/// Share of the objective from which on the least skew counts. While maps are copied all
-		/// passes take longer, which costs more streams than the skew that it takes away: from
-		/// 0.45 (and 0.6 tolerated) to 1.0 (and 1.2) worth rose on all sites played, on the
-		/// grown ones' scale-1 from 0.339 to 0.452 and from 0.211 to 0.556.
-		constexpr double kTightShare = 1.0;
-		/// Twice the skew at which planning stops: the last copies of a plan save little each, and
-		/// each is paid for.
-		constexpr double kPlannedSkew = 0.3;
-		/// Skew that a switch must save at least. One takes 0.3 to 0.5 s, and the group copies
-		/// meanwhile.
+		/// Pass duration, as a share of the objective, from which on only kSkewTolerance is tolerated. Copying lengthens
+		/// all passes, which makes more streams late than the removed skew. Raising this share from 0.45 to 1.0,
+		/// and kMostTolerated from 0.6 to 1.2, raised worth on all simulated sites; in scale-1 of the large ones from
+		/// 0.339 to 0.452 and from 0.211 to 0.556.
+		constexpr double kFullPressureShare = 1.0;
+		/// Twice the skew at which planning stops: the last copies of a plan save little, and each has a cost.
+		constexpr double kPlanningTolerance = 0.3;
+		/// Minimum skew reduction of a switch, which takes 0.3 to 0.5 s and copies experts meanwhile.
 		constexpr double kLeastGain = 0.12;
-		/// Experts that one switch copies at most, for each rank. An expert that draws a quarter of a
-		/// set's choices needs a host on a quarter of the ranks, in each set: 4 a rank with 16 sets. More
-		/// is seldom planned, and planning a copy takes 0.02 ms of a core.
+		/// Maximum copies in one switch, per rank. An expert that receives a quarter of the choices of a set needs
+		/// hosts on a quarter of the ranks: with 16 sets, 4 copies per rank. More is rarely planned, and planning one
+		/// copy takes 0.02 ms of CPU time.
 		constexpr double kMostCopiesPerRank = 6.0;
 	} // namespace
 
@@ -35,7 +33,7 @@
 		{
 			return kSkewTolerance;
 		}
-		const double share = std::min(1.0, _pressure.passMs / (kTightShare * double(_pressure.gapObjectiveMs)));
+		const double share = std::min(1.0, _pressure.passMs / (kFullPressureShare * double(_pressure.gapObjectiveMs)));
 		return kMostTolerated + share * (kSkewTolerance - kMostTolerated);
 	}
 
@@ -56,7 +54,7 @@
 		{
 			return decision;
 		}
-		PlacementPlan plan = planMoves(input, kPlannedSkew);
+		PlacementPlan plan = planMoves(input, kPlanningTolerance);
 		decision.skewAfter = plan.skewAfter;
 		decision.copies = plan.staged;
 		decision.worthwhile = decision.skewBefore - plan.skewAfter >= kLeastGain;
--- a/src/decide/map_window.cpp
+++ b/src/decide/map_window.cpp
@@ -24,8 +24,8 @@
 
 	void addPiece(ChoiceWindow& _window, ChoicePiece _piece, Millis _windowMs)
 	{
-		const bool another = !_window.pieces.empty() && (_window.pieces.back().epoch != _piece.epoch || _window.pieces.back().choices.size() != _piece.choices.size());
-		if (another)
+		const bool differentShape = !_window.pieces.empty() && (_window.pieces.back().epoch != _piece.epoch || _window.pieces.back().choices.size() != _piece.choices.size());
+		if (differentShape)
 		{
 			_window.pieces.clear();
 		}
--- a/src/decide/mapswitch.cpp
+++ b/src/decide/mapswitch.cpp
@@ -6,8 +6,8 @@
 {
 	namespace
 	{
-		/// The rank's vote as its engine proves it.
-		MapVote provedVote(const MapProposal& _proposal, const RankState& _rank)
+		/// @returns The rank's vote as shown by the state of its engine.
+		MapVote voteFromState(const MapProposal& _proposal, const RankState& _rank)
 		{
 			if (_rank.armed == _proposal.number)
 			{
@@ -15,8 +15,8 @@
 			}
 			if (_rank.decided == _proposal.number)
 			{
-				// Released on the old map only after somebody refused. That this rank voted
-				// yes doesn't matter any more, and saying no keeps the outcome known.
+				// A rank is released on the old map only after another rank refused. Its own yes no longer
+				// matters, and voting no preserves the outcome.
 				return _rank.decidedCommit ? MapVote::Yes : MapVote::No;
 			}
 			return _proposal.number <= _rank.floor ? MapVote::No : MapVote::None;
@@ -72,18 +72,18 @@
 		{
 			return;
 		}
-		const MapVote vote = provedVote(*_switch.proposal, _rank);
+		const MapVote vote = voteFromState(*_switch.proposal, _rank);
 		if (_rank.decided == _switch.proposal->number && _rank.decidedCommit)
 		{
-			// Nobody is released onto the new map before all have voted yes.
+			// A rank is released onto the new map only after all ranks voted yes.
 			_switch.votes.assign(_switch.votes.size(), MapVote::Yes);
 		}
 		if (MapVote::None != vote)
 		{
 			_switch.votes[_switch.rank] = vote;
 		}
-		const bool free = _rank.armed != _switch.proposal->number;
-		_switch.released = MapVote::None != vote && free;
+		const bool notArmed = _rank.armed != _switch.proposal->number;
+		_switch.released = MapVote::None != vote && notArmed;
 	}
 
 	void hearVotes(MapSwitch& _switch, std::uint64_t _number, const std::vector<MapVote>& _votes)
@@ -94,10 +94,9 @@
 		}
 		for (std::size_t rank = 0; rank < std::min(_votes.size(), _switch.votes.size()); ++rank)
 		{
-			// A no is final and wins over an older yes; the own vote comes from the engine
-			// alone.
-			const bool news = MapVote::None == _switch.votes[rank] || MapVote::No == _votes[rank];
-			if (rank != _switch.rank && news && MapVote::None != _votes[rank])
+			// A no is final and overrides an earlier yes; the own vote is derived from the engine only.
+			const bool isNew = MapVote::None == _switch.votes[rank] || MapVote::No == _votes[rank];
+			if (rank != _switch.rank && isNew && MapVote::None != _votes[rank])
 			{
 				_switch.votes[rank] = _votes[rank];
 			}
@@ -126,10 +125,10 @@
 			return RankOrder::None;
 		}
 		const MapProposal& proposal = *_switch.proposal;
-		if (MapVote::None == provedVote(proposal, _rank))
+		if (MapVote::None == voteFromState(proposal, _rank))
 		{
-			const bool lost = MapOutcome::Aborted == outcomeOf(_switch);
-			return !lost && canArm(proposal, _rank) ? RankOrder::Arm : RankOrder::Refuse;
+			const bool aborted = MapOutcome::Aborted == outcomeOf(_switch);
+			return !aborted && canArm(proposal, _rank) ? RankOrder::Arm : RankOrder::Refuse;
 		}
 		if (_rank.armed != proposal.number)
 		{
--- a/src/decide/switch_worth.cpp
+++ b/src/decide/switch_worth.cpp
@@ -7,139 +7,139 @@
 {
 	namespace
 	{
-		/// Passes are this much longer while experts are copied, as engines declare.
-		constexpr double kCopyingStretch = 1.15;
-		/// Passes from the end of the copies until the map is in force, before a switch was seen: a
-		/// boundary is set some passes ahead, and each rank is heard once more.
-		constexpr double kOverheadPasses = 4.0;
-		/// Passes that a hold takes, before one was seen: the orders to all ranks and their answers.
-		constexpr double kStoodPasses = 0.5;
-		/// Weight of the newest switch in the means: the last five or so tell how the store and the ranks
-		/// answer now.
+		/// Factor by which passes are longer while experts are copied, as declared by engines.
+		constexpr double kCopyingFactor = 1.15;
+		/// Initial estimate of the passes from the end of the copies until the map is in force: the boundary is set
+		/// some passes ahead, and each rank reports once more.
+		constexpr double kInitialOverheadPasses = 4.0;
+		/// Initial estimate of the duration of a hold in passes: the orders to all ranks and their responses.
+		constexpr double kInitialStallPasses = 0.5;
+		/// Weight of the newest switch in the means: about the last five show the current response times of the
+		/// store and the ranks.
 		constexpr double kSwitchWeight = 0.2;
-		/// What the last switches took counts for about this long after them, ms: a store that is slow is back
-		/// some seconds later.
-		constexpr double kSwitchForgottenMs = 8'000.0;
-		/// Between the starts of two trials, ms: windows overlap, and a closer one tells the same again.
-		constexpr Millis kTrialEveryMs = 400;
-		/// Weight that older trials keep when one is added: some twelve count, of some 5 s.
-		constexpr double kTrialKept = 0.92;
-		/// Skew by which the first guess counts among the trials: as much as one plan.
-		constexpr double kGuessWeight = 0.5;
-		/// Demand lasts this many lives of a stream, where nothing has been seen: what callers ask about
-		/// outlasts single requests.
-		constexpr double kDemandLives = 3.0;
-		/// Least share of a pass by which the passes of one group vary from one to the next.
-		constexpr double kLeastSpread = 0.08;
-		/// What an answer with a pause too long is worth to its caller, against one in time: it is still
-		/// read, but its reader has been kept waiting.
-		constexpr double kLateValue = 0.4;
-		/// Steps in which the streams are summed up that have a part of their passes in a time.
-		constexpr int kParts = 8;
-		/// Least gain, as a share of the service of the time that it is expected to last: skew and passes of one
-		/// window vary by as much, and the first window that looks worth it is seldom a usual one. From 0.02 on
-		/// 0.32 -> 0.42 of the streams are in time with topics of 4 s on groups with little room (replayed).
-		constexpr double kLeastGainShare = 0.2;
-		/// The same by which a small switch must be better than a large one.
-		constexpr double kClearGainShare = 0.02;
-		/// A switch that makes fewer of the running streams late is made whenever there is skew over what is
-		/// tolerated and hardly a request waits: with passes far below the gap nothing would be saved now, and
-		/// one begun only when skew is felt comes late. With holds of 20 ms and topics of 4 s 0.58 -> 0.80 of the
-		/// streams are in time (replayed).
-		constexpr double kHarmless = 0.1;
-		/// Share of the ranks with a queue from which on a switch must pay: the time that it takes is theirs.
-		constexpr double kFewWaiting = 0.1;
-		/// Of the copies that a rank can make in a switch, those of a small one.
-		constexpr double kSmallSwitch = 0.4;
+		/// Time constant with which observed durations lose their weight, ms: a slow store usually recovers within
+		/// seconds.
+		constexpr double kSwitchDecayMs = 8'000.0;
+		/// Minimum interval between two trials, ms: windows overlap, so a closer one adds no information.
+		constexpr Millis kMinTrialIntervalMs = 400;
+		/// Factor on the weight of older trials when one is added: about twelve count, from about 5 s.
+		constexpr double kTrialDecay = 0.92;
+		/// Weight of the initial estimate among the trials, as skew: about that of one plan.
+		constexpr double kInitialWeight = 0.5;
+		/// Initial estimate of the duration of a demand, in stream durations: topics outlast single requests.
+		constexpr double kDemandStreamDurations = 3.0;
+		/// Lower bound of the standard deviation of passes, as a share of a pass.
+		constexpr double kMinSpreadShare = 0.08;
+		/// Value to the caller of a late response, relative to one in time: it is still read, but the reader had to
+		/// wait.
+		constexpr double kLateResponseValue = 0.4;
+		/// Number of steps when summing over streams of which only some passes fall into an interval.
+		constexpr int kIntegrationSteps = 8;
+		/// Minimum net gain, as a share of the service in the time that the saving lasts. Skew and passes of one
+		/// window vary by as much, and the first window in which a switch looks worthwhile is seldom typical. In
+		/// replays with topics of 4 s on groups with little free capacity, raising it from 0.02 raised the share of
+		/// streams in time from 0.32 to 0.42.
+		constexpr double kMinGainShare = 0.2;
+		/// Minimum advantage of a small switch over a large one, as a share like kMinGainShare.
+		constexpr double kMinAdvantageShare = 0.02;
+		/// A switch that makes less than this share of the running streams late is made whenever skew exceeds the
+		/// tolerated one and hardly any request waits. With passes far below the gap the estimated saving is zero, but
+		/// a switch that begins only when skew has an effect comes too late. In replays with holds of 20 ms and
+		/// topics of 4 s this raised the share of streams in time from 0.58 to 0.80.
+		constexpr double kMaxHarmlessLateShare = 0.1;
+		/// From this share of ranks with a queue on a switch must pay off: the queued requests bear its duration.
+		constexpr double kMaxHarmlessQueuedShare = 0.1;
+		/// Copy budget of a small switch, as a share of the full one.
+		constexpr double kSmallCopyBudgetShare = 0.4;
 
-		/// Time that a map is used in a group with a rank that drains, ms, at most: the group forms anew with
-		/// its first map once the rank ends, some seconds after it said that it drains.
-		constexpr double kLeavingMs = 1'500.0;
+		/// Maximum time that a new map is used in a group with a draining rank, ms: the group forms anew with its
+		/// initial map once the rank ends, some seconds after it reported that it drains.
+		constexpr double kDrainingMapMs = 1'500.0;
 
-		/// Streams of a group as a pass makes them late.
+		/// Model of how the passes of a group make its streams late.
 		struct StreamModel
 		{
 			double gapMs = 0.0;
-			double spreadMs = 0.0; ///< Standard deviation of passes.
-			double events = 1.0;   ///< Passes of a stream.
+			double spreadMs = 0.0; ///< Standard deviation of the pass duration.
+			double events = 1.0;   ///< Passes per stream.
 			double waiting = 0.0;  ///< See GroupPressure.
-			double passMs = 0.0;   ///< Now.
+			double passMs = 0.0;   ///< Current mean.
 		};
 
-		/// @returns Probability that a pass is over the gap.
-		double overGap(const StreamModel& _streams, double _passMs)
+		/// @returns Probability that a pass exceeds the gap.
+		double lateProbability(const StreamModel& _streams, double _passMs)
 		{
 			return 0.5 * std::erfc((_streams.gapMs - _passMs) / (std::sqrt(2.0) * _streams.spreadMs));
 		}
 
-		/// @returns What the streams of some time are worth, 1 for all in time, if so many of their passes
-		/// are as given and the others as now.
+		/// @returns Mean value of the streams, 1 if all are in time, when _passes of their passes take _passMs and the
+		/// others as long as now.
 		double valueOf(const StreamModel& _streams, double _passMs, double _passes)
 		{
-			const double now = 1.0 - overGap(_streams, _streams.passMs);
-			const double then = 1.0 - overGap(_streams, _passMs);
+			const double now = 1.0 - lateProbability(_streams, _streams.passMs);
+			const double then = 1.0 - lateProbability(_streams, _passMs);
 			const double inTime = std::pow(now, _streams.events - _passes) * std::pow(then, _passes);
-			return kLateValue + (1.0 - kLateValue) * inTime;
+			return kLateResponseValue + (1.0 - kLateResponseValue) * inTime;
 		}
 
-		/// @returns Gain against going on as now, in ms of whole service, while passes take _passMs for _forMs.
-		/// Streams that begin before or end after that time have a part of their passes in it.
+		/// @returns Gain over the current state, in ms of full service, if passes take _passMs for a duration of _forMs.
+		/// Streams that begin before or end after that interval have only some of their passes in it.
 		double gainOf(const StreamModel& _streams, double _passMs, double _forMs)
 		{
-			const double lifeMs = _streams.events * _streams.passMs;
-			const double mostPasses = std::min(_streams.events, _forMs / _passMs);
+			const double streamMs = _streams.events * _streams.passMs;
+			const double maxPasses = std::min(_streams.events, _forMs / _passMs);
 			const double now = valueOf(_streams, _streams.passMs, 0.0);
-			const double most = valueOf(_streams, _passMs, mostPasses);
-			double partly = 0.0;
-			for (int part = 0; part < kParts; ++part)
+			const double maxValue = valueOf(_streams, _passMs, maxPasses);
+			double partialValue = 0.0;
+			for (int part = 0; part < kIntegrationSteps; ++part)
 			{
-				partly += valueOf(_streams, _passMs, mostPasses * (double(part) + 0.5) / double(kParts)) / double(kParts);
+				partialValue += valueOf(_streams, _passMs, maxPasses * (double(part) + 0.5) / double(kIntegrationSteps)) / double(kIntegrationSteps);
 			}
-			const double gain = 2.0 * std::min(lifeMs, _forMs) * (partly - now) + std::abs(lifeMs - _forMs) * (most - now);
-			// Shorter passes also answer more requests where some wait for places, or soon will since the passes
-			// are too long for those that came: without it a map that takes several switches would never be begun.
-			const double waiting = std::max(_streams.waiting, overGap(_streams, _streams.passMs));
-			return gain + waiting * (_streams.passMs / _passMs - 1.0) * _forMs * most;
+			const double gain = 2.0 * std::min(streamMs, _forMs) * (partialValue - now) + std::abs(streamMs - _forMs) * (maxValue - now);
+			// Shorter passes also increase throughput where requests are queued, or soon will be because passes are
+			// too long for the arrival rate. Without this term a map that takes several switches is never begun.
+			const double waiting = std::max(_streams.waiting, lateProbability(_streams, _streams.passMs));
+			return gain + waiting * (_streams.passMs / _passMs - 1.0) * _forMs * maxValue;
 		}
 
-		/// @returns Length of a pass if all places were taken, against now.
-		double fullAgainstNow(const EngineModel& _model, double _active)
+		/// @returns Duration of a pass with all slots occupied, relative to now.
+		double fullPassRatio(const EngineModel& _model, double _active)
 		{
 			const double now = _model.stepMs + _model.perSequenceMs * _active;
 			const double full = _model.stepMs + _model.perSequenceMs * std::max(_active, double(_model.slots));
 			return 0.0 < now ? full / now : 1.0;
 		}
 
-		StreamModel streamsOf(const EngineModel& _model, const GroupPressure& _group)
+		StreamModel streamModelOf(const EngineModel& _model, const GroupPressure& _group)
 		{
 			StreamModel streams;
 			streams.gapMs = double(_group.passes.gapObjectiveMs);
 			streams.passMs = _group.passes.passMs;
 			const double promptMs = 0.0 < _model.prefillTokensPerMs ? double(_model.usualPromptTokens) / _model.prefillTokensPerMs : 0.0;
-			// Passes differ by whether the slowest rank reads a prompt more or less.
-			streams.spreadMs = std::max(promptMs, kLeastSpread * streams.passMs);
+			// Passes vary by the number of prompts that the slowest rank reads.
+			streams.spreadMs = std::max(promptMs, kMinSpreadShare * streams.passMs);
 			streams.events = std::max(1.0, double(_model.usualAnswerTokens) / double(std::max(1U, _model.stride)));
 			streams.waiting = _group.waiting;
 			return streams;
 		}
 
-		/// @returns Gain of a map that is in force for some time, at the given length of passes.
-		double savingAt(StreamModel _streams, double _passMs, double _share, double _skew, double _savedSkew, double _lastsMs)
+		/// @returns Gain of a map that is in force for _lastsMs, if passes now take _passMs.
+		double savingWithPass(StreamModel _streams, double _passMs, double _share, double _skew, double _savedSkew, double _lastsMs)
 		{
 			_streams.passMs = _passMs;
 			const double after = _passMs * (1.0 + _share * (_skew - _savedSkew)) / (1.0 + _share * _skew);
 			return gainOf(_streams, after, _lastsMs);
 		}
 
-		/// Share of the longest pause that the copy of one expert takes at least where switches are weighed. Where
-		/// experts are copied faster a switch costs little more than its hold, and weighing showed no gain: worth of
-		/// a busy day on 63 ranks, a tenth of the pause a copy, 0.484 by skew (six plays, 0.458 to 0.511) and
-		/// 0.464 weighed (three, 0.437 to 0.491).
-		constexpr double kLeastCopyShare = 0.125;
+		/// Switches are estimated only if copying one expert takes at least this share of the longest accepted pause.
+		/// With faster copies a switch costs little more than its hold, and estimating brought no gain: with 63 ranks
+		/// on a busy day and copies of a tenth of the pause, worth was 0.484 by skew alone (six runs, 0.458 to 0.511)
+		/// and 0.464 with estimates (three runs, 0.437 to 0.491).
+		constexpr double kMinCopyShare = 0.125;
 
-		/// @returns Whether counts and ranks are those of the group that a map was made for: it may have formed
-		/// anew with fewer ranks, or its model may have changed.
-		bool fits(const ExpertHosts& _hosts, const ExpertLoad& _load, std::uint32_t _ranks)
+		/// @returns Whether a map has the dimensions of the counts and of the group: the group may have formed anew
+		/// with fewer ranks, or its model may have changed.
+		bool hasDimensions(const ExpertHosts& _hosts, const ExpertLoad& _load, std::uint32_t _ranks)
 		{
 			bool same = _hosts.size() == _load.size();
 			for (std::size_t set = 0; same && set < _hosts.size(); ++set)
@@ -155,26 +155,26 @@
 			return same;
 		}
 
-		/// @returns Whether it is time to follow another plan.
+		/// @returns Whether another trial may start.
 		bool trialIsDue(const SavingRecord& _record, Millis _now)
 		{
-			return _record.trials.empty() || _now - _record.trials.back().at >= kTrialEveryMs;
+			return _record.trials.empty() || _now - _record.trials.back().at >= kMinTrialIntervalMs;
 		}
 
-		/// @returns What is gained beyond the cost, ms.
-		double netOf(const SwitchWorth& _worth)
+		/// @returns Saving minus cost, ms of full service.
+		double netGain(const SwitchWorth& _worth)
 		{
 			return _worth.savedMs - _worth.costMs;
 		}
 
 		bool pays(const SwitchWorth& _worth, const GroupPressure& _group)
 		{
-			const bool harmless = _worth.madeLate < kHarmless && _group.waiting < kFewWaiting;
-			return harmless || netOf(_worth) > kLeastGainShare * _worth.expectedMs;
+			const bool isHarmless = _worth.madeLate < kMaxHarmlessLateShare && _group.waiting < kMaxHarmlessQueuedShare;
+			return isHarmless || netGain(_worth) > kMinGainShare * _worth.expectedMs;
 		}
 
-		/// What a plan is weighed with.
-		struct Weighing
+		/// Inputs for the estimate of a plan.
+		struct EstimateInputs
 		{
 			const EngineModel& model;
 			std::uint32_t ranks = 0;
@@ -184,15 +184,15 @@
 			SwitchTimes times;
 		};
 
-		/// Of two that are about as good the large one is taken: what is left would need another switch.
+		/// Prefers the large switch if both are about equal, since a small one may require another switch.
 		bool isClearlyBetter(const SwitchChoice& _small, const SwitchChoice& _large)
 		{
-			const bool onlyOne = SwitchDoubt::None != _large.doubt && SwitchDoubt::None == _small.doubt;
-			const bool neither = SwitchDoubt::None != _large.doubt || SwitchDoubt::None == _small.doubt;
-			return onlyOne || (neither && netOf(_small.worth) > netOf(_large.worth) + kClearGainShare * _small.worth.expectedMs);
+			const bool onlySmallPays = SwitchDoubt::None != _large.doubt && SwitchDoubt::None == _small.doubt;
+			const bool notOnlyLargePays = SwitchDoubt::None != _large.doubt || SwitchDoubt::None == _small.doubt;
+			return onlySmallPays || (notOnlyLargePays && netGain(_small.worth) > netGain(_large.worth) + kMinAdvantageShare * _small.worth.expectedMs);
 		}
 
-		std::uint32_t mostCopies(const ExpertHosts& _from, const ExpertHosts& _to, std::uint32_t _ranks)
+		std::uint32_t maxCopiesPerRank(const ExpertHosts& _from, const ExpertHosts& _to, std::uint32_t _ranks)
 		{
 			std::vector<std::uint32_t> copies(_ranks, 0);
 			for (std::size_t set = 0; set < _to.size(); ++set)
@@ -209,17 +209,17 @@
 			return copies.empty() ? 0 : *std::max_element(copies.begin(), copies.end());
 		}
 
-		SwitchChoice weigh(const Weighing& _with, MapDecision _plan)
+		SwitchChoice estimate(const EstimateInputs& _inputs, MapDecision _plan)
 		{
-			const double copyMs = _plan.hosts.empty() ? 0.0 : _with.model.expertCopyMs * mostCopies(_with.hosts, _plan.hosts, _with.ranks);
-			const SwitchWorth worth = worthOf(_with.model, _with.group, _plan, copyMs, _with.record, _with.times);
-			return {pays(worth, _with.group) ? SwitchDoubt::None : SwitchDoubt::CostsMore, std::move(_plan), worth};
+			const double copyMs = _plan.hosts.empty() ? 0.0 : _inputs.model.expertCopyMs * maxCopiesPerRank(_inputs.hosts, _plan.hosts, _inputs.ranks);
+			const SwitchWorth worth = worthOf(_inputs.model, _inputs.group, _plan, copyMs, _inputs.record, _inputs.times);
+			return {pays(worth, _inputs.group) ? SwitchDoubt::None : SwitchDoubt::CostsMore, std::move(_plan), worth};
 		}
 	} // namespace
 
 	bool isWeighed(const EngineModel& _model, Millis _gapObjectiveMs)
 	{
-		return 0 < _gapObjectiveMs && 0.0 < _model.expertShare && _model.expertCopyMs >= kLeastCopyShare * double(_gapObjectiveMs);
+		return 0 < _gapObjectiveMs && 0.0 < _model.expertShare && _model.expertCopyMs >= kMinCopyShare * double(_gapObjectiveMs);
 	}
 
 	std::string_view toString(SwitchDoubt _doubt)
@@ -241,18 +241,18 @@
 	{
 		for (PlanTrial& trial : _record.trials)
 		{
-			const bool sameShape = fits(trial.before, _load, _ranks) && fits(trial.after, _load, _ranks);
+			const bool sameShape = hasDimensions(trial.before, _load, _ranks) && hasDimensions(trial.after, _load, _ranks);
 			while (trial.nextAge < kSavingAges.size() && trial.at + kSavingAges[trial.nextAge] <= _now)
 			{
 				const std::size_t age = trial.nextAge++;
-				const bool late = age + 1 < kSavingAges.size() && trial.at + kSavingAges[age + 1] <= _now;
-				if (late || !sameShape)
+				const bool missed = age + 1 < kSavingAges.size() && trial.at + kSavingAges[age + 1] <= _now;
+				if (missed || !sameShape)
 				{
-					continue; // no counts came in between; those of now are of a later age
+					continue; // no counts arrived in time; the current ones belong to a later age
 				}
 				const double saved = skewOf(trial.before, _load, _ranks, _paces) - skewOf(trial.after, _load, _ranks, _paces);
-				_record.planned[age] = kTrialKept * _record.planned[age] + trial.planned;
-				_record.saved[age] = kTrialKept * _record.saved[age] + std::min(saved, trial.planned);
+				_record.planned[age] = kTrialDecay * _record.planned[age] + trial.planned;
+				_record.saved[age] = kTrialDecay * _record.saved[age] + std::min(saved, trial.planned);
 			}
 		}
 		while (!_record.trials.empty() && kSavingAges.size() <= _record.trials.front().nextAge)
@@ -269,8 +269,8 @@
 		for (std::size_t age = 0; age < kSavingAges.size(); ++age)
 		{
 			const double until = double(kSavingAges[age]);
-			const double guess = 0.0 < _streamMs ? std::exp(-until / (kDemandLives * _streamMs)) : 0.0;
-			const double share = std::max(0.0, (_record.saved[age] + kGuessWeight * guess) / (_record.planned[age] + kGuessWeight));
+			const double initial = 0.0 < _streamMs ? std::exp(-until / (kDemandStreamDurations * _streamMs)) : 0.0;
+			const double share = std::max(0.0, (_record.saved[age] + kInitialWeight * initial) / (_record.planned[age] + kInitialWeight));
 			const double span = std::max(0.0, until - std::max(from, _delayMs));
 			outlook.keptShare = 0.0 == whole ? std::max(outlook.keptShare, 0.0 < span ? share : 0.0) : outlook.keptShare;
 			whole += share * span;
@@ -283,13 +283,13 @@
 	SwitchTimes expectedTimes(const EngineModel& _model, const SwitchRecord& _record, Millis _now)
 	{
 		const double fullPassMs = double(_model.stride) * (_model.stepMs + _model.perSequenceMs * double(_model.slots));
-		const SwitchTimes guess{kStoodPasses * fullPassMs, kOverheadPasses * fullPassMs};
+		const SwitchTimes initial{kInitialStallPasses * fullPassMs, kInitialOverheadPasses * fullPassMs};
 		if (0 == _record.seenAt)
 		{
-			return guess;
+			return initial;
 		}
-		const double kept = std::exp(-double(_now - _record.seenAt) / kSwitchForgottenMs);
-		return {guess.stoodMs + kept * (_record.mean.stoodMs - guess.stoodMs), guess.overheadMs + kept * (_record.mean.overheadMs - guess.overheadMs)};
+		const double kept = std::exp(-double(_now - _record.seenAt) / kSwitchDecayMs);
+		return {initial.stoodMs + kept * (_record.mean.stoodMs - initial.stoodMs), initial.overheadMs + kept * (_record.mean.overheadMs - initial.overheadMs)};
 	}
 
 	void noteSwitch(const EngineModel& _model, SwitchRecord& _record, const SwitchTimes& _seen, Millis _now)
@@ -302,40 +302,40 @@
 
 	SwitchWorth worthOf(const EngineModel& _model, const GroupPressure& _group, const MapDecision& _plan, double _copyMs, const SavingRecord& _record, const SwitchTimes& _times)
 	{
-		const StreamModel streams = streamsOf(_model, _group);
+		const StreamModel streams = streamModelOf(_model, _group);
 		const double passMs = streams.passMs;
 		const double stoodMs = _times.stoodMs;
 		SavingOutlook outlook = outlookOf(_record, streams.events * passMs, _copyMs + _times.overheadMs);
-		outlook.lastsMs = _group.leaving ? std::min(outlook.lastsMs, kLeavingMs) : outlook.lastsMs;
+		outlook.lastsMs = _group.leaving ? std::min(outlook.lastsMs, kDrainingMapMs) : outlook.lastsMs;
 		const double saved = outlook.keptShare * (_plan.skewBefore - _plan.skewAfter);
 		SwitchWorth worth;
 		worth.keptShare = outlook.keptShare;
 		worth.expectedMs = outlook.lastsMs;
 		worth.copyMs = _copyMs;
-		const double copyingMs = kCopyingStretch * passMs;
-		worth.madeLate = 1.0 - (1.0 - overGap(streams, passMs + stoodMs)) * std::pow(1.0 - overGap(streams, copyingMs), std::min(streams.events, _copyMs / copyingMs));
-		// The places may fill within the time that a switch takes: a map is also for then.
-		const double fullMs = passMs * fullAgainstNow(_model, _group.active);
-		worth.savedMs = std::max(savingAt(streams, passMs, _model.expertShare, _plan.skewBefore, saved, outlook.lastsMs), savingAt(streams, fullMs, _model.expertShare, _plan.skewBefore, saved, outlook.lastsMs));
-		worth.costMs = -gainOf(streams, kCopyingStretch * passMs, _copyMs) - gainOf(streams, passMs + stoodMs, passMs + stoodMs);
+		const double copyingMs = kCopyingFactor * passMs;
+		worth.madeLate = 1.0 - (1.0 - lateProbability(streams, passMs + stoodMs)) * std::pow(1.0 - lateProbability(streams, copyingMs), std::min(streams.events, _copyMs / copyingMs));
+		// The slots may fill up while the switch is in progress, so that case is estimated too.
+		const double fullMs = passMs * fullPassRatio(_model, _group.active);
+		worth.savedMs = std::max(savingWithPass(streams, passMs, _model.expertShare, _plan.skewBefore, saved, outlook.lastsMs), savingWithPass(streams, fullMs, _model.expertShare, _plan.skewBefore, saved, outlook.lastsMs));
+		worth.costMs = -gainOf(streams, kCopyingFactor * passMs, _copyMs) - gainOf(streams, passMs + stoodMs, passMs + stoodMs);
 		return worth;
 	}
 
 	SwitchChoice chooseSwitch(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const GroupPressure& _group, const std::vector<double>& _paces, const SwitchRecord& _switches, SavingRecord& _record, Millis _now)
 	{
 		takeCounts(_record, _load, _ranks, _paces, _now);
-		const Weighing weighing{_model, _ranks, _hosts, _group, _record, expectedTimes(_model, _switches, _now)};
-		const bool weighed = isWeighed(_model, _group.passes.gapObjectiveMs) && 0.0 < _group.passes.passMs;
+		const EstimateInputs inputs{_model, _ranks, _hosts, _group, _record, expectedTimes(_model, _switches, _now)};
+		const bool useEstimate = isWeighed(_model, _group.passes.gapObjectiveMs) && 0.0 < _group.passes.passMs;
 		SwitchChoice choice;
 		choice.plan.skewBefore = skewOf(_hosts, _load, _ranks, _paces);
 		if (choice.plan.skewBefore < toleratedSkew(_group.passes))
 		{
 			return choice;
 		}
-		if (weighed && !trialIsDue(_record, _now))
+		if (useEstimate && !trialIsDue(_record, _now))
 		{
-			// If not even a map without skew would pay that needed no copies, none is planned.
-			const SwitchChoice ideal = weigh(weighing, choice.plan);
+			// Skips planning if not even a map without skew and without copies would pay off.
+			const SwitchChoice ideal = estimate(inputs, choice.plan);
 			if (SwitchDoubt::None != ideal.doubt)
 			{
 				choice.doubt = SwitchDoubt::NonePays;
@@ -344,18 +344,18 @@
 		}
 		choice.plan = decideMap(_model, _ranks, _hosts, _load, _group.passes, _paces);
 		choice.doubt = choice.plan.worthwhile ? SwitchDoubt::None : SwitchDoubt::NoBetterMap;
-		if (!choice.plan.worthwhile || !weighed)
+		if (!choice.plan.worthwhile || !useEstimate)
 		{
 			return choice;
 		}
 		addTrial(_record, _hosts, choice.plan, _now);
-		choice = weigh(weighing, std::move(choice.plan));
-		MapDecision small = decideMap(_model, _ranks, _hosts, _load, _group.passes, _paces, kSmallSwitch * kCopyBudgetMs);
+		choice = estimate(inputs, std::move(choice.plan));
+		MapDecision small = decideMap(_model, _ranks, _hosts, _load, _group.passes, _paces, kSmallCopyBudgetShare * kCopyBudgetMs);
 		if (!small.worthwhile || choice.plan.copies <= small.copies)
 		{
 			return choice;
 		}
-		SwitchChoice other = weigh(weighing, std::move(small));
-		return isClearlyBetter(other, choice) ? other : choice;
+		SwitchChoice smallChoice = estimate(inputs, std::move(small));
+		return isClearlyBetter(smallChoice, choice) ? smallChoice : choice;
 	}
 } // namespace archdyke
--- a/tests/switch_replay.h
+++ b/tests/switch_replay.h
@@ -1,4 +1,4 @@
-/// One group whose streams ask for experts of topics that change, pass by pass, against the decision.
+/// Replays one group pass by pass against the switch decision; its streams choose experts by topics that change.
 #pragma once
 
 #include <algorithm>
@@ -35,7 +35,7 @@
 		return model;
 	}
 
-	/// Shares that fall with an expert's place in an order that the topic draws, added up for drawing.
+	/// @returns Cumulative shares for sampling; an expert's share decreases with its position in a random order.
 	inline std::vector<double> cumulativeShares(std::uint32_t _experts, std::uint64_t _seed)
 	{
 		constexpr double kSteepness = 0.92;
@@ -52,26 +52,26 @@
 		return shares;
 	}
 
-	/// How one load is replayed.
-	struct Script
+	/// Parameters of a replay.
+	struct ReplayConfig
 	{
-		double shiftEveryMs = 0.0; ///< Another topic comes up; 0: never.
+		double shiftEveryMs = 0.0; ///< Interval between topic changes; 0: no change.
 		double firstShiftMs = 0.0;
 		double lengthMs = 40'000.0;
-		double evenPassMs = 32.0; ///< A pass without skew and prompts.
-		double holdMs = 45.0;     ///< A group stands so long in a switch.
-		int picks = 6;            ///< Choices of a stream in a pass and set; the fewer, the more chance.
-		bool weighed = true;      ///< By chooseSwitch, else by decideMap alone.
+		double basePassMs = 32.0; ///< Duration of a pass without skew and prompts.
+		double holdMs = 45.0;     ///< Stall of the group in a switch.
+		int choicesPerSet = 6;    ///< Choices per stream, pass and set; fewer choices make skew more random.
+		bool useEstimate = true;  ///< Decide by chooseSwitch, else by decideMap alone.
 	};
 
-	struct Played
+	struct ReplayResult
 	{
 		int switches = 0;
 		int streams = 0;
 		int inTime = 0;
-		double lastSkew = 0.0;         ///< Mean of the last 2 s.
-		int lastSwitches = 0;          ///< In the second half.
-		double latestFollowedMs = 0.0; ///< From the first shift until a switch after it is in force; the longest of the plays.
+		double finalSkew = 0.0;     ///< Mean over the last 2 s.
+		int secondHalfSwitches = 0; ///< In the second half.
+		double maxFollowMs = 0.0;   ///< From the first shift until a switch planned after it is in force; maximum over the replays.
 
 		double share() const
 		{
@@ -79,16 +79,16 @@
 		}
 	};
 
-	/// One group, pass by pass: streams that each ask for experts of their topic until they end.
-	class Group
+	/// Simulates one group pass by pass. Each stream chooses experts of its topic until it ends.
+	class ReplayedGroup
 	{
 	public:
-		Group(const Script& _script, std::uint64_t _seed)
-		    : script(_script)
+		ReplayedGroup(const ReplayConfig& _config, std::uint64_t _seed)
+		    : config(_config)
 		    , random(_seed)
 		    , hosts(dealtInTurn(this->model.sets, this->model.experts, kRanks))
 		    , streams(std::size_t(kRanks) * this->model.slots)
-		    , nextShiftMs(0.0 < _script.shiftEveryMs ? _script.firstShiftMs : 1e12)
+		    , nextShiftMs(0.0 < _config.shiftEveryMs ? _config.firstShiftMs : 1e12)
 		{
 			for (Stream& stream : this->streams)
 			{
@@ -96,29 +96,29 @@
 			}
 		}
 
-		Played play()
+		ReplayResult replay()
 		{
-			int looks = 0;
-			while (this->nowMs < this->script.lengthMs)
+			int samples = 0;
+			while (this->nowMs < this->config.lengthMs)
 			{
 				const ExpertLoad load = this->pass();
-				if (this->nowMs > this->script.lengthMs - 2'000.0)
+				if (this->nowMs > this->config.lengthMs - 2'000.0)
 				{
-					looks += 1;
-					this->played.lastSkew += skewOf(this->hosts, load, kRanks);
+					samples += 1;
+					this->result.finalSkew += skewOf(this->hosts, load, kRanks);
 				}
 				if (this->next.empty())
 				{
 					this->decide();
 				}
 			}
-			this->played.lastSkew /= double(std::max(1, looks));
-			return this->played;
+			this->result.finalSkew /= double(std::max(1, samples));
+			return this->result;
 		}
 
 	private:
 		static constexpr int kPasses = 23;
-		static constexpr double kPromptMs = 13.0; ///< To read one; the rank with most of them is waited for.
+		static constexpr double kPromptMs = 13.0; ///< Time to read one prompt; all ranks wait for the rank with the most prompts.
 		static constexpr double kTopicShare = 0.6;
 
 		struct Stream
@@ -152,7 +152,7 @@
 				for (std::uint32_t set = 0; set < this->model.sets; ++set)
 				{
 					const std::vector<double>& shares = this->sharesOf(stream.topic, set);
-					for (int pick = 0; pick < this->script.picks; ++pick)
+					for (int pick = 0; pick < this->config.choicesPerSet; ++pick)
 					{
 						const auto found = std::lower_bound(shares.begin(), shares.end(), this->uniform() * shares.back());
 						load[set][std::size_t(found - shares.begin())] += 1.0;
@@ -162,31 +162,32 @@
 			return load;
 		}
 
-		/// @returns What the streams chose in it.
+		/// Simulates one pass.
+		/// @returns The choices of the streams in the pass.
 		ExpertLoad pass()
 		{
 			if (this->nextShiftMs <= this->nowMs)
 			{
 				this->topic += 1;
-				this->nextShiftMs += this->script.shiftEveryMs;
+				this->nextShiftMs += this->config.shiftEveryMs;
 			}
 			const ExpertLoad load = this->drawChoices();
 			const double share = this->model.expertShare;
-			double passMs = this->script.evenPassMs * (1.0 + share * skewOf(this->hosts, load, kRanks));
-			passMs += kPromptMs * double(*std::max_element(this->begun.begin(), this->begun.end()));
+			double passMs = this->config.basePassMs * (1.0 + share * skewOf(this->hosts, load, kRanks));
+			passMs += kPromptMs * double(*std::max_element(this->startedStreams.begin(), this->startedStreams.end()));
 			const double fromMs = this->nowMs;
 			passMs *= fromMs < this->copiedAtMs ? 1.15 : 1.0;
 			const bool atBoundary = !this->next.empty() && this->inForceAtMs <= fromMs;
 			double heldMs = 0.0;
 			if (atBoundary)
 			{
-				heldMs = this->script.holdMs;
+				heldMs = this->config.holdMs;
 				this->hosts = std::move(this->next);
 				this->next.clear();
-				this->played.switches += 1;
-				const bool follows = 0.0 == this->played.latestFollowedMs && this->script.firstShiftMs <= this->plannedAtMs;
-				this->played.latestFollowedMs = follows ? fromMs - this->script.firstShiftMs : this->played.latestFollowedMs;
-				this->played.lastSwitches += fromMs > this->script.lengthMs / 2.0 ? 1 : 0;
+				this->result.switches += 1;
+				const bool follows = 0.0 == this->result.maxFollowMs && this->config.firstShiftMs <= this->plannedAtMs;
+				this->result.maxFollowMs = follows ? fromMs - this->config.firstShiftMs : this->result.maxFollowMs;
+				this->result.secondHalfSwitches += fromMs > this->config.lengthMs / 2.0 ? 1 : 0;
 				noteSwitch(this->model, this->switches, {heldMs, fromMs + heldMs - this->plannedAtMs - this->copyMs}, Millis(this->nowMs));
 				this->passes.clear();
 			}
@@ -204,7 +205,7 @@
 
 		void endPass(double _pauseMs)
 		{
-			std::fill(this->begun.begin(), this->begun.end(), 0);
+			std::fill(this->startedStreams.begin(), this->startedStreams.end(), 0);
 			for (std::size_t index = 0; index < this->streams.size(); ++index)
 			{
 				Stream& stream = this->streams[index];
@@ -214,11 +215,11 @@
 				{
 					continue;
 				}
-				this->played.streams += 1;
-				this->played.inTime += stream.late ? 0 : 1;
+				this->result.streams += 1;
+				this->result.inTime += stream.late ? 0 : 1;
 				const bool topical = this->uniform() < kTopicShare;
 				stream = {topical, topical ? this->topic : 0, kPasses / 2 + int(randomBelow(this->random, kPasses)), false};
-				this->begun[index / this->model.slots] += 1;
+				this->startedStreams[index / this->model.slots] += 1;
 			}
 		}
 
@@ -229,11 +230,11 @@
 			{
 				return;
 			}
-			const std::size_t some = std::min<std::size_t>(5, this->passes.size());
-			const double passMs = std::accumulate(this->passes.end() - std::ptrdiff_t(some), this->passes.end(), 0.0) / double(some);
+			const std::size_t meanCount = std::min<std::size_t>(5, this->passes.size());
+			const double passMs = std::accumulate(this->passes.end() - std::ptrdiff_t(meanCount), this->passes.end(), 0.0) / double(meanCount);
 			const PassPressure passes{passMs, kGapMs};
 			MapDecision plan;
-			if (this->script.weighed)
+			if (this->config.useEstimate)
 			{
 				SwitchChoice choice = chooseSwitch(this->model, kRanks, this->hosts, *load, {passes, double(this->model.slots), 0.0, false}, {}, this->switches, this->savings, Millis(this->nowMs));
 				plan = std::move(choice.plan);
@@ -254,15 +255,15 @@
 			this->copyMs = std::min(kCopyBudgetMs, this->model.expertCopyMs * std::ceil(2.0 * double(_plan.copies) / double(kRanks)));
 			this->plannedAtMs = this->nowMs;
 			this->copiedAtMs = this->nowMs + this->copyMs;
-			this->inForceAtMs = this->copiedAtMs + 4.0 * this->script.evenPassMs;
+			this->inForceAtMs = this->copiedAtMs + 4.0 * this->config.basePassMs;
 			this->next = _plan.hosts;
 		}
 
 		EngineModel model = engine();
-		Script script;
+		ReplayConfig config;
 		Random random;
 		ExpertHosts hosts;
-		ExpertHosts next; ///< Of the open switch; empty: none.
+		ExpertHosts next; ///< Map of the open switch; empty: none.
 		std::vector<Stream> streams;
 		std::vector<std::vector<double>> profiles;
 		std::uint64_t topic = 0;
@@ -272,11 +273,11 @@
 		double plannedAtMs = 0.0;
 		double copiedAtMs = 0.0;
 		double inForceAtMs = 0.0;
-		std::vector<int> begun = std::vector<int>(kRanks, 0); ///< Streams, by rank, in the pass.
-		std::vector<double> passes;                           ///< Since the last switch, ms.
+		std::vector<int> startedStreams = std::vector<int>(kRanks, 0); ///< Streams that began in the pass, by rank.
+		std::vector<double> passes;                                    ///< Since the last switch, ms.
 		ChoiceWindow window;
 		SwitchRecord switches;
 		SavingRecord savings;
-		Played played;
+		ReplayResult result;
 	};
 } // namespace archdyke::tests
--- a/tests/test_map_policy.cpp
+++ b/tests/test_map_policy.cpp
@@ -1,4 +1,4 @@
-/// When a map pays and which: windows of choices, limits on copies, pressure of the passes.
+/// Map planning: windows of choices, limits on copies, tolerated skew by pass duration.
 #include <cmath>
 #include <numeric>
 
@@ -26,10 +26,10 @@
 		return model;
 	}
 
-	/// Passes as long as the gaps may be: the least skew counts.
-	const PassPressure kTight{120.0, 120};
+	/// Passes as long as the objective allows, so that the tolerated skew is at its minimum.
+	const PassPressure kFullPressure{120.0, 120};
 
-	/// One expert of each set draws a quarter of the choices.
+	/// @returns A load in which one expert of each set receives a quarter of the choices.
 	ExpertLoad oneHot(std::uint32_t _expert)
 	{
 		ExpertLoad load(4, std::vector<double>(kExperts, 1.0));
@@ -54,7 +54,7 @@
 		return arrivals;
 	}
 
-	/// A switch copies no more than a rank can in its time, fits into the places and leaves every expert a rank.
+	/// Checks that a switch respects the copy budget and the places of each rank, and leaves every expert a host.
 	void checkLimits(const ExpertHosts& _from, const ExpertHosts& _to)
 	{
 		for (std::uint32_t rank = 0; rank < kRanks; ++rank)
@@ -62,9 +62,9 @@
 			std::uint32_t arrivals = 0;
 			for (std::uint32_t set = 0; set < 4; ++set)
 			{
-				const std::uint32_t ofSet = arrivalsOf(_from, _to, rank, set);
-				RC_ASSERT(ofSet <= 3U);
-				arrivals += ofSet;
+				const std::uint32_t setArrivals = arrivalsOf(_from, _to, rank, set);
+				RC_ASSERT(setArrivals <= 3U);
+				arrivals += setArrivals;
 			}
 			RC_ASSERT(double(arrivals) * engine().expertCopyMs <= kCopyBudgetMs);
 		}
@@ -98,7 +98,7 @@
 	cr_assert(!loadOf(window, 2, 200));
 }
 
-Test(mappolicy, experts_are_dealt_in_turn)
+Test(mappolicy, experts_are_assigned_round_robin)
 {
 	const ExpertHosts hosts = dealtInTurn(2, 5, 3);
 	cr_assert(hosts.size() == 2 && hosts[1][4].front() == 1);
@@ -106,17 +106,17 @@
 	cr_assert(ranks[0][0] == (std::vector<std::uint32_t>{0, 3}));
 }
 
-/// Two switches take most of the skew of a hot expert away, each within the time that a rank may copy,
-/// and leave every expert a rank.
-Test(mappolicy, a_plan_keeps_the_limits_and_takes_the_skew)
+/// Two switches remove most of the skew of a hot expert, each within the copy budget, and leave every expert a
+/// host.
+Test(mappolicy, a_plan_keeps_the_limits_and_removes_the_skew)
 {
 	checkProperty("limits of a plan", [] {
 		const ExpertHosts dealt = dealtInTurn(4, kExperts, kRanks);
 		const ExpertLoad load = oneHot(*rc::gen::inRange<std::uint32_t>(0, kExperts));
-		const MapDecision first = decideMap(engine(), kRanks, dealt, load, kTight);
+		const MapDecision first = decideMap(engine(), kRanks, dealt, load, kFullPressure);
 		RC_ASSERT(first.worthwhile && first.skewBefore > 1.0);
 		checkLimits(dealt, first.hosts);
-		const MapDecision second = decideMap(engine(), kRanks, first.hosts, load, kTight);
+		const MapDecision second = decideMap(engine(), kRanks, first.hosts, load, kFullPressure);
 		const ExpertHosts& last = second.worthwhile ? second.hosts : first.hosts;
 		RC_ASSERT(skewOf(last, load, kRanks) < 0.4);
 		checkLimits(first.hosts, last);
@@ -127,7 +127,7 @@
 {
 	cr_assert(toleratedSkew({10.0, 120}) > toleratedSkew({40.0, 120}));
 	cr_assert(toleratedSkew({40.0, 120}) > toleratedSkew({100.0, 120}));
-	cr_assert(std::abs(toleratedSkew({0.0, 120}) - toleratedSkew(kTight)) < 1e-9);
+	cr_assert(std::abs(toleratedSkew({0.0, 120}) - toleratedSkew(kFullPressure)) < 1e-9);
 }
 
 Test(mappolicy, nothing_is_moved_without_requests_or_skew)
@@ -139,7 +139,7 @@
 	cr_assert(!decideMap(engine(), kRanks, hosts, even, {60.0, 120}).worthwhile);
 }
 
-/// All ranks wait for the slowest, so experts leave a slow one, a few in each switch.
+/// All ranks wait for the slowest, so each switch moves a few experts away from a slow rank.
 Test(mappolicy, a_slow_rank_is_given_less)
 {
 	std::vector<double> paces(kRanks, 1.0);
@@ -150,7 +150,7 @@
 	cr_assert(before > 2.0 && std::abs(skewOf(hosts, even, kRanks)) < 1e-9);
 	for (int switches = 0; switches < 8; ++switches)
 	{
-		const MapDecision decision = decideMap(engine(), kRanks, hosts, even, kTight, paces);
+		const MapDecision decision = decideMap(engine(), kRanks, hosts, even, kFullPressure, paces);
 		hosts = decision.worthwhile ? decision.hosts : hosts;
 	}
 	const double after = skewOf(hosts, even, kRanks, paces);
@@ -159,8 +159,8 @@
 
 namespace
 {
-	/// Demand of one topic: shares fall with an expert's place in the topic's own order, over what all
-	/// topics have in common.
+	/// @returns The demand of one topic: shares decrease with an expert's position in a topic-specific order, on top of
+	/// a share common to all topics.
 	ExpertLoad topicLoad(const EngineModel& _model, std::uint64_t _topic)
 	{
 		constexpr double kSteepness = 0.92;
@@ -183,12 +183,12 @@
 	}
 } // namespace
 
-/// Other topics come up again and again, faster than a group of 24 ranks that copy an expert in 76 ms
-/// could follow with two copies a rank and switch: each shift took three to five switches.
+/// Topics change faster than a group of 24 ranks with 76 ms per copied expert can follow with two copies per rank and
+/// switch: each shift then took three to five switches.
 Test(mappolicy, a_shift_of_demand_ends_in_two_switches)
 {
 	constexpr std::uint32_t kLargeRanks = 24;
-	constexpr double kEnough = 0.6;
+	constexpr double kAcceptedSkew = 0.6;
 	EngineModel model;
 	model.sets = 16;
 	model.experts = 96;
@@ -201,7 +201,7 @@
 		const ExpertLoad load = topicLoad(model, topic);
 		const double before = skewOf(hosts, load, kLargeRanks);
 		int switches = 0;
-		for (; switches < 8 && kEnough < skewOf(hosts, load, kLargeRanks); ++switches)
+		for (; switches < 8 && kAcceptedSkew < skewOf(hosts, load, kLargeRanks); ++switches)
 		{
 			hosts = decideMap(model, kLargeRanks, hosts, load, {150.0, 150}).hosts;
 		}
--- a/tests/test_map_window.cpp
+++ b/tests/test_map_window.cpp
@@ -1,4 +1,4 @@
-/// Choices of experts, gathered from counts that ranks keep since their start.
+/// Expert choices, computed from cumulative counts of the ranks.
 #include "archdyke/map_window.h"
 
 #include <criterion/criterion.h>
@@ -22,8 +22,8 @@
 	cr_assert(!between({5, 7}, {6, 7, 4}), "another number of experts");
 }
 
-/// A rank that starts anew counts from nothing. Taken for a difference it would be four billion choices of each
-/// expert, and experts would be placed by nothing else for the whole window.
+/// A restarted rank counts from zero. An unsigned difference would then be four billion choices per expert and would
+/// dominate the placement for the whole window.
 Test(mapwindow, counts_that_went_back_are_no_choices)
 {
 	cr_assert(!between({5'120, 88, 940}, {3, 90, 1'000}));
--- a/tests/test_mapswitch.cpp
+++ b/tests/test_mapswitch.cpp
@@ -1,7 +1,6 @@
-/// Exhaustive exploration of the map switch. Messages once sent may arrive at any time, any
-/// number of times, or never; agents may die at any time. So an agent acts on any subset of
-/// the votes ever sent, and its memory needn't be part of the state: what it forgets in a
-/// crash is a message that hasn't arrived.
+/// Explores all states of the map switch protocol. A sent message may arrive at any time, any number of times, or
+/// never, and agents may crash at any time. So an agent acts on any subset of the votes ever sent. Its memory
+/// needn't be part of the state: losing it in a crash is equivalent to a message that hasn't arrived.
 #include <cstdio>
 #include <deque>
 #include <set>
@@ -13,16 +12,16 @@
 
 namespace
 {
-	/// Rules that can be taken out, to see that the exploration finds the fault then.
-	enum class WithoutRule
+	/// Protocol rules that can be disabled one at a time to check that the exploration finds the resulting fault.
+	enum class DisabledRule
 	{
 		None,
-		HoldAtBoundary,   ///< A rank enters N though it is armed.
-		RefusalIsForGood, ///< The engine forgets its floor.
-		ArmBeforeBoundary ///< An engine lets itself be armed after it has entered N.
+		HoldAtBoundary,     ///< When disabled, a rank enters N although it is armed.
+		RefusalIsPermanent, ///< When disabled, the engine loses its floor.
+		ArmBeforeBoundary   ///< When disabled, an engine can be armed after it has entered N.
 	};
 
-	/// An engine rank as far as the switch goes. Step N is one place here: before or past.
+	/// The part of an engine rank that matters for the switch. Step N is modelled as either not entered or entered.
 	struct Rank
 	{
 		RankState state;
@@ -32,7 +31,7 @@
 		auto operator<=>(const Rank&) const = default;
 	};
 
-	/// A rank's own vote, as its agent once told it.
+	/// A rank's own vote, as sent by its agent.
 	struct SentVote
 	{
 		std::uint64_t number;
@@ -54,13 +53,13 @@
 	{
 		std::uint32_t ranks;
 		std::uint64_t proposals;
-		WithoutRule without;
+		DisabledRule disabledRule;
 		std::size_t states = 0;
 		bool violated = false;
 		bool committedSeen = false;
 		bool abortedSeen = false;
 
-		/// An agent that knows a proposal and some of the votes sent on it.
+		/// @returns An agent that knows a proposal and some of the votes sent for it.
 		MapSwitch agentOf(const World& _world, std::uint32_t _rank, std::uint64_t _number, const std::vector<MapVote>& _heard) const
 		{
 			MapSwitch agent;
@@ -71,17 +70,17 @@
 			return agent;
 		}
 
-		/// What an agent reads of its engine.
+		/// @returns The state that an agent reads from its engine.
 		RankState seen(const World& _world, std::uint32_t _rank) const
 		{
 			RankState state = _world.ranks[_rank].state;
-			state.step = WithoutRule::ArmBeforeBoundary == this->without ? 0 : state.step;
+			state.step = DisabledRule::ArmBeforeBoundary == this->disabledRule ? 0 : state.step;
 			return state;
 		}
 
 		void applyOrder(Rank& _rank, RankOrder _order, std::uint64_t _number) const
 		{
-			const bool past = -1 != _rank.entered && WithoutRule::ArmBeforeBoundary != this->without;
+			const bool past = -1 != _rank.entered && DisabledRule::ArmBeforeBoundary != this->disabledRule;
 			const bool open = 0 == _rank.state.armed && 0 == _rank.next && _number > _rank.state.floor && _number > _rank.state.decided;
 			if (RankOrder::Arm == _order && open && !past)
 			{
@@ -100,7 +99,7 @@
 			}
 		}
 
-		/// The state after an order, with the vote that its agent may then tell.
+		/// @returns The world after an order, including the vote that the agent may then send.
 		World afterOrder(const World& _world, std::uint32_t _rank, RankOrder _order, std::uint64_t _number) const
 		{
 			World next = _world;
@@ -124,12 +123,12 @@
 			_next.push_back(this->afterOrder(_world, _rank, order, _number));
 			if (RankOrder::Arm == order)
 			{
-				// The engine may be unable to, for example while the map isn't staged.
+				// The engine may be unable to arm, for example while the map isn't staged.
 				_next.push_back(this->afterOrder(_world, _rank, RankOrder::Refuse, _number));
 			}
 		}
 
-		/// Calls act with every subset of the votes that the others sent.
+		/// Calls act with every subset of the votes sent by the other ranks.
 		void actOnSubsets(const World& _world, std::uint32_t _rank, std::uint64_t _number, std::uint32_t _other, std::vector<MapVote>& _heard, std::vector<World>& _next) const
 		{
 			if (_other == this->ranks)
@@ -149,12 +148,12 @@
 			_heard[_other] = MapVote::None;
 		}
 
-		/// The rank enters N, on the map it has, unless it holds.
+		/// The rank enters N on its current map, unless it is held.
 		void enter(const World& _world, std::uint32_t _rank, std::vector<World>& _next) const
 		{
 			const Rank& rank = _world.ranks[_rank];
-			const bool holds = 0 != rank.state.armed && WithoutRule::HoldAtBoundary != this->without;
-			if (-1 == rank.entered && !holds)
+			const bool isHeld = 0 != rank.state.armed && DisabledRule::HoldAtBoundary != this->disabledRule;
+			if (-1 == rank.entered && !isHeld)
 			{
 				World next = _world;
 				next.ranks[_rank].entered = int(rank.next);
@@ -174,7 +173,7 @@
 					this->actOnSubsets(_world, rank, number, 0, heard, next);
 				}
 				this->enter(_world, rank, next);
-				if (WithoutRule::RefusalIsForGood == this->without)
+				if (DisabledRule::RefusalIsPermanent == this->disabledRule)
 				{
 					World forgotten = _world;
 					forgotten.ranks[rank].state.floor = 0;
@@ -184,7 +183,7 @@
 			return next;
 		}
 
-		void judge(const World& _world)
+		void check(const World& _world)
 		{
 			std::set<int> maps;
 			for (const Rank& rank : _world.ranks)
@@ -213,7 +212,7 @@
 			{
 				const World world = std::move(open.front());
 				open.pop_front();
-				this->judge(world);
+				this->check(world);
 				for (World& next : this->successors(world))
 				{
 					if (seen.insert(next).second)
@@ -226,21 +225,21 @@
 		}
 	};
 
-	Explorer explored(std::uint32_t _ranks, std::uint64_t _proposals, WithoutRule _without, std::size_t _limit)
+	Explorer explored(std::uint32_t _ranks, std::uint64_t _proposals, DisabledRule _disabledRule, std::size_t _limit)
 	{
-		Explorer explorer{_ranks, _proposals, _without};
+		Explorer explorer{_ranks, _proposals, _disabledRule};
 		explorer.explore(_limit);
-		std::printf("ranks %u, proposals %d, rule taken out %d: %zu states, violated %d\n", _ranks, int(_proposals), int(_without), explorer.states, int(explorer.violated));
+		std::printf("ranks %u, proposals %d, disabled rule %d: %zu states, violated %d\n", _ranks, int(_proposals), int(_disabledRule), explorer.states, int(explorer.violated));
 		return explorer;
 	}
 
-	constexpr std::size_t kLimit = 1'500'000;
+	constexpr std::size_t kMaxStates = 1'500'000;
 
 	void expectSafe(std::uint32_t _ranks, std::uint64_t _proposals)
 	{
-		const Explorer explorer = explored(_ranks, _proposals, WithoutRule::None, kLimit);
+		const Explorer explorer = explored(_ranks, _proposals, DisabledRule::None, kMaxStates);
 		cr_assert(!explorer.violated);
-		cr_assert(explorer.states < kLimit, "the exploration was cut short");
+		cr_assert(explorer.states < kMaxStates, "the exploration was cut short");
 		cr_assert(explorer.committedSeen && explorer.abortedSeen);
 	}
 } // namespace
@@ -267,17 +266,17 @@
 
 Test(mapswitch, without_the_hold_the_group_splits)
 {
-	cr_assert(explored(2, 1, WithoutRule::HoldAtBoundary, kLimit).violated);
+	cr_assert(explored(2, 1, DisabledRule::HoldAtBoundary, kMaxStates).violated);
 }
 
 Test(mapswitch, a_forgotten_refusal_splits_the_group)
 {
-	cr_assert(explored(2, 1, WithoutRule::RefusalIsForGood, kLimit).violated);
+	cr_assert(explored(2, 1, DisabledRule::RefusalIsPermanent, kMaxStates).violated);
 }
 
 Test(mapswitch, a_vote_after_entering_splits_the_group)
 {
-	cr_assert(explored(2, 1, WithoutRule::ArmBeforeBoundary, kLimit).violated);
+	cr_assert(explored(2, 1, DisabledRule::ArmBeforeBoundary, kMaxStates).violated);
 }
 
 Test(mapswitch, an_old_planner_and_a_busy_agent_are_refused)
@@ -295,7 +294,7 @@
 	cr_assert(ProposalRefusal::None == hearProposal(agent, {"g", 7, 3, 1, 0, 10, 1, 2}));
 }
 
-Test(mapswitch, a_no_wins_over_an_older_yes)
+Test(mapswitch, a_no_overrides_an_earlier_yes)
 {
 	MapSwitch agent;
 	hearProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 3});
--- a/tests/test_switch_worth.cpp
+++ b/tests/test_switch_worth.cpp
@@ -1,5 +1,5 @@
-/// When a switch of the map is worth its copies and its hold: shifts of demand replayed against the
-/// decision, with the chance of small samples.
+/// Whether a map switch is worth its copies and its hold: replays demand shifts against the decision, including
+/// the randomness of small samples.
 #include <algorithm>
 #include <numeric>
 
@@ -12,86 +12,86 @@
 
 namespace
 {
-	/// Plays of some seeds, added up.
-	Played play(Script _script, bool _weighed)
+	/// @returns The results of replays with several seeds, summed.
+	ReplayResult replay(ReplayConfig _config, bool _useEstimate)
 	{
-		Played sum;
-		_script.weighed = _weighed;
+		ReplayResult sum;
+		_config.useEstimate = _useEstimate;
 		for (std::uint64_t seed = 1; seed <= 3; ++seed)
 		{
-			const Played one = Group(_script, seed).play();
+			const ReplayResult one = ReplayedGroup(_config, seed).replay();
 			sum.switches += one.switches;
 			sum.streams += one.streams;
 			sum.inTime += one.inTime;
-			sum.lastSkew += one.lastSkew / 3.0;
-			sum.lastSwitches += one.lastSwitches;
-			sum.latestFollowedMs = std::max(sum.latestFollowedMs, one.latestFollowedMs);
+			sum.finalSkew += one.finalSkew / 3.0;
+			sum.secondHalfSwitches += one.secondHalfSwitches;
+			sum.maxFollowMs = std::max(sum.maxFollowMs, one.maxFollowMs);
 		}
 		return sum;
 	}
 
-	std::string show(const Played& _played)
+	std::string show(const ReplayResult& _result)
 	{
-		return std::to_string(_played.switches) + " switches, " + std::to_string(_played.lastSwitches) + " late, " + std::to_string(_played.share()) + " in time, skew at the end " + std::to_string(_played.lastSkew);
+		return std::to_string(_result.switches) + " switches, " + std::to_string(_result.secondHalfSwitches) + " in the second half, " + std::to_string(_result.share()) + " in time, skew at the end " + std::to_string(_result.finalSkew);
 	}
 } // namespace
 
-/// Topics that change twice a second are gone before a map for them is in force, and each hold of 45 ms
-/// makes the running streams late. By skew alone there are some 140 switches in 120 s, and a sixth of the
-/// streams is in time.
-Test(switchworth, topics_that_pass_at_once_are_not_followed)
+/// Topics that change twice a second end before a map for them is in force, and each hold of 45 ms makes the
+/// running streams late. By skew alone there are about 140 switches in 120 s, and a sixth of the streams is in
+/// time.
+Test(switchworth, short_lived_topics_are_not_followed)
 {
-	Script script;
-	script.shiftEveryMs = 500.0;
-	script.firstShiftMs = 3'000.0;
-	const Played before = play(script, false);
-	const Played now = play(script, true);
+	ReplayConfig config;
+	config.shiftEveryMs = 500.0;
+	config.firstShiftMs = 3'000.0;
+	const ReplayResult before = replay(config, false);
+	const ReplayResult now = replay(config, true);
 	cr_assert(before.share() < 0.5, "%s", show(before).c_str());
 	cr_assert(now.switches <= 12 && now.share() > 0.85, "%s", show(now).c_str());
 }
 
-/// Topics of one to ten seconds, on groups with some and with little room.
+/// Topics of one to ten seconds, on groups with some and with little free capacity.
 Test(switchworth, topics_of_some_seconds_keep_more_streams_in_time_with_fewer_switches)
 {
-	for (const double evenPassMs : {32.0, 40.0})
+	for (const double basePassMs : {32.0, 40.0})
 	{
 		for (const double everyMs : {1'000.0, 2'000.0, 4'000.0, 10'000.0})
 		{
-			Script script;
-			script.shiftEveryMs = everyMs;
-			script.firstShiftMs = 3'000.0;
-			script.evenPassMs = evenPassMs;
-			const Played before = play(script, false);
-			const Played now = play(script, true);
-			cr_assert(now.share() > before.share() && now.switches < before.switches, "every %.0f ms, passes %.0f ms: %s before, %s", everyMs, evenPassMs, show(before).c_str(), show(now).c_str());
+			ReplayConfig config;
+			config.shiftEveryMs = everyMs;
+			config.firstShiftMs = 3'000.0;
+			config.basePassMs = basePassMs;
+			const ReplayResult before = replay(config, false);
+			const ReplayResult now = replay(config, true);
+			cr_assert(now.share() > before.share() && now.switches < before.switches, "every %.0f ms, passes %.0f ms: %s before, %s", everyMs, basePassMs, show(before).c_str(), show(now).c_str());
 		}
 	}
 }
 
 Test(switchworth, a_lasting_shift_is_followed)
 {
-	Script script;
-	script.shiftEveryMs = 1e9;
-	script.firstShiftMs = 12'000.0;
-	const Played now = play(script, true);
-	cr_assert(0.0 < now.latestFollowedMs && now.latestFollowedMs < 3'500.0, "%f", now.latestFollowedMs);
-	cr_assert(now.lastSkew < 0.7 && now.share() > 0.85, "%s", show(now).c_str());
+	ReplayConfig config;
+	config.shiftEveryMs = 1e9;
+	config.firstShiftMs = 12'000.0;
+	const ReplayResult now = replay(config, true);
+	cr_assert(0.0 < now.maxFollowMs && now.maxFollowMs < 3'500.0, "%f", now.maxFollowMs);
+	cr_assert(now.finalSkew < 0.7 && now.share() > 0.85, "%s", show(now).c_str());
 }
 
-/// With one choice of a stream in a pass and set, skew of 0.6 is chance: no map takes it away.
-Test(switchworth, chance_is_not_followed)
+/// With one choice per stream, pass and set, a skew of 0.6 is random: no map removes it.
+Test(switchworth, random_skew_is_not_followed)
 {
-	Script script;
-	script.picks = 1;
-	const Played before = play(script, false);
-	const Played now = play(script, true);
-	cr_assert(before.lastSwitches >= 5, "%s", show(before).c_str());
-	cr_assert(5 * now.lastSwitches <= before.lastSwitches && now.share() > before.share() - 0.01, "%s before, %s", show(before).c_str(), show(now).c_str());
+	ReplayConfig config;
+	config.choicesPerSet = 1;
+	const ReplayResult before = replay(config, false);
+	const ReplayResult now = replay(config, true);
+	cr_assert(before.secondHalfSwitches >= 5, "%s", show(before).c_str());
+	cr_assert(5 * now.secondHalfSwitches <= before.secondHalfSwitches && now.share() > before.share() - 0.01, "%s before, %s", show(before).c_str(), show(now).c_str());
 }
 
 namespace
 {
-	/// One expert of each set draws a third of what all others do.
+	/// @returns A load in which one expert of each set receives a third as many choices as all others together.
 	ExpertLoad oneHot(std::uint32_t _expert)
 	{
 		const EngineModel model = engine();
@@ -134,7 +134,7 @@
 	cr_assert(brief.madeLate < 0.1 && lengthy.madeLate > 0.95);
 }
 
-/// Passes are far over the gap, and one switch doesn't bring them below it.
+/// Passes are far longer than the gap, and one switch isn't enough to bring them below it.
 Test(switchworth, a_map_that_takes_several_switches_is_begun)
 {
 	SavingRecord record;
@@ -149,8 +149,8 @@
 	cr_assert(SwitchDoubt::LittleSkew == choose(ExpertLoad(engine().sets, std::vector<double>(engine().experts, 1.0)), {{80.0, 0}, 10.0, 0.0, false}, record).doubt);
 }
 
-/// Places may fill while a switch is under way, so one that hurts nobody isn't put off.
-Test(switchworth, a_harmless_switch_is_made_ahead_of_need)
+/// Slots may fill up during a switch, so a switch that makes hardly any stream late isn't delayed.
+Test(switchworth, a_harmless_switch_is_made_before_it_is_needed)
 {
 	SavingRecord record;
 	const SwitchChoice choice = choose(oneHot(3), {{50.0, kGapMs}, 10.0, 0.0, false}, record);
@@ -158,7 +158,7 @@
 	cr_assert(SwitchDoubt::None == choice.doubt);
 }
 
-/// A chosen map is whole, whether the large or the small switch serves more.
+/// The chosen map is complete, whether the large or the small switch is chosen.
 Test(switchworth, a_chosen_map_hosts_every_expert)
 {
 	EngineModel model = engine();
@@ -190,10 +190,10 @@
 			}));
 		}
 	}
-	cr_assert(large && small, "one of the sizes wasn't tried");
+	cr_assert(large && small, "one of the sizes was never chosen");
 }
 
-/// A switch that stood for long while the store was slow isn't the last one.
+/// A long stall while the store was slow must not prevent all later switches.
 Test(switchworth, a_long_hold_is_forgotten)
 {
 	SwitchRecord switches;
@@ -203,7 +203,7 @@
 	cr_assert(expectedTimes(engine(), switches, 21'000).stoodMs < guess.stoodMs + 60.0);
 }
 
-Test(switchworth, what_plans_kept_is_learnt)
+Test(switchworth, the_kept_share_of_plans_is_learned)
 {
 	const GroupPressure group{{100.0, kGapMs}, 10.0, 0.0, false};
 	SavingRecord lasting;
@@ -254,6 +254,6 @@
 		return chooseSwitch(model, kRanks, dealt, oneHot(3), {{100.0, kGapMs}, 10.0, 0.0, false}, {}, {}, record, 1'000);
 	};
 	const SwitchChoice fast = choiceAt(double(kGapMs) / 10.0);
-	cr_assert(SwitchDoubt::None == fast.doubt && SwitchWorth() == fast.worth, "it isn't weighed");
+	cr_assert(SwitchDoubt::None == fast.doubt && SwitchWorth() == fast.worth, "no estimate was made");
 	cr_assert(SwitchWorth() != choiceAt(double(kGapMs) / 5.0).worth);
 }
