--- a/src/decide/placement.cpp
+++ b/src/decide/placement.cpp
@@ -11,18 +11,18 @@
 
 	namespace
 	{
-		constexpr double kLeastGain = 1e-9;
-		/// Share of a layer's greatest load that placing it anew must save.
-		constexpr double kClearGain = 0.02;
+		constexpr double kMinGain = 1e-9;
+		/// Minimum reduction of a layer's maximum load for placing it from scratch, as a share of that load.
+		constexpr double kMinFromScratchGainShare = 0.02;
 
 		struct Totals
 		{
-			double greatest = 0.0;
-			double mean = 0.0;
+			double maxLoadSum = 0.0;
+			double meanLoadSum = 0.0;
 
 			double skew() const
 			{
-				return 0.0 < this->mean ? this->greatest / this->mean - 1.0 : 0.0;
+				return 0.0 < this->meanLoadSum ? this->maxLoadSum / this->meanLoadSum - 1.0 : 0.0;
 			}
 		};
 	} // namespace
@@ -42,8 +42,8 @@
 					rankLoad[host] += paces[host] * _load[layer][expert] / double(_hosts[layer][expert].size());
 				}
 			}
-			totals.greatest += *std::max_element(rankLoad.begin(), rankLoad.end());
-			totals.mean += evenLoad(rankLoad, paces);
+			totals.maxLoadSum += *std::max_element(rankLoad.begin(), rankLoad.end());
+			totals.meanLoadSum += evenLoad(rankLoad, paces);
 		}
 		return totals.skew();
 	}
@@ -67,8 +67,8 @@
 
 	namespace
 	{
-		/// Places one layer anew: as many copies as slots allow, given to the experts with
-		/// the most tokens a copy, then the hottest copies to the coldest ranks.
+		/// Places one layer from scratch: uses all slots, giving copies to the experts with the most tokens per
+		/// copy, then assigns the hottest copies to the least loaded ranks.
 		std::vector<std::vector<std::uint32_t>> placeLayer(const std::vector<double>& _tokens, std::uint32_t _ranks, std::uint32_t _slots)
 		{
 			const std::size_t experts = _tokens.size();
@@ -115,28 +115,29 @@
 
 	namespace
 	{
-		/// Moves one by one end where no single one helps; a layer placed anew may be better
-		/// still. Taken where it is clearly better and the budget allows it.
-		double placeAnewWhereBetter(const PlacementInput& _input, std::vector<Layer>& _layers, double _left)
+		/// Single moves can end in a local optimum. Places a layer from scratch where that is clearly better and
+		/// within the budget.
+		/// @returns Reduction of the sum of maximum loads.
+		double placeFromScratchWhereBetter(const PlacementInput& _input, std::vector<Layer>& _layers, double _budgetLeft)
 		{
 			double gained = 0.0;
 			for (std::size_t index = 0; index < _layers.size(); ++index)
 			{
-				PlacementInput one;
-				one.ranks = _input.ranks;
-				one.slots = _input.slots;
-				one.hosts = {placeLayer(_layers[index].tokens, _input.ranks, _input.slots)};
-				one.load = {_layers[index].tokens};
-				one.paces = _input.paces;
-				const Layer anew = makeLayer(one, 0);
-				const double cost = countStaged({_input.hosts[index]}, one.hosts);
+				PlacementInput layerInput;
+				layerInput.ranks = _input.ranks;
+				layerInput.slots = _input.slots;
+				layerInput.hosts = {placeLayer(_layers[index].tokens, _input.ranks, _input.slots)};
+				layerInput.load = {_layers[index].tokens};
+				layerInput.paces = _input.paces;
+				const Layer fromScratch = makeLayer(layerInput, 0);
+				const double cost = countStaged({_input.hosts[index]}, layerInput.hosts);
 				const double saved = countStaged({_input.hosts[index]}, {_layers[index].hosts});
-				const double gain = greatest(_layers[index]) - greatest(anew);
-				if (gain > kClearGain * greatest(_layers[index]) && cost - saved <= _left)
+				const double gain = maxLoad(_layers[index]) - maxLoad(fromScratch);
+				if (gain > kMinFromScratchGainShare * maxLoad(_layers[index]) && cost - saved <= _budgetLeft)
 				{
-					_left -= cost - saved;
+					_budgetLeft -= cost - saved;
 					gained += gain;
-					_layers[index] = anew;
+					_layers[index] = fromScratch;
 				}
 			}
 			return gained;
@@ -146,52 +147,52 @@
 	PlacementPlan planMoves(const PlacementInput& _input, double _skewTolerance)
 	{
 		std::vector<Layer> layers;
-		std::vector<Move> best;
+		std::vector<Move> bestMoves;
 		Totals totals;
-		ArrivalLimits limits{_input.arrivalsPerRank, _input.arrivalsPerLayer, std::vector<std::uint32_t>(_input.ranks, 0)};
+		NewExpertLimits limits{_input.arrivalsPerRank, _input.arrivalsPerLayer, std::vector<std::uint32_t>(_input.ranks, 0)};
 		const bool limited = 0 < limits.perRank || 0 < limits.perLayer;
 		for (std::size_t index = 0; index < _input.hosts.size(); ++index)
 		{
 			layers.push_back(makeLayer(_input, index));
-			best.push_back(bestMove(layers.back(), limits, _input.slots));
-			totals.greatest += greatest(layers.back());
-			totals.mean += meanLoad(layers.back());
+			bestMoves.push_back(bestMove(layers.back(), limits, _input.slots));
+			totals.maxLoadSum += maxLoad(layers.back());
+			totals.meanLoadSum += meanLoad(layers.back());
 		}
 		PlacementPlan plan;
 		plan.skewBefore = totals.skew();
-		double left = _input.budget;
+		double budgetLeft = _input.budget;
 		while (totals.skew() > _skewTolerance / 2.0)
 		{
-			const auto layer = std::size_t(std::max_element(best.begin(), best.end(), [](const Move& _a, const Move& _b) {
+			const auto layer = std::size_t(std::max_element(bestMoves.begin(), bestMoves.end(), [](const Move& _a, const Move& _b) {
 				                               return _a.gain < _b.gain;
 			                               }) -
-			                               best.begin());
-			if (best[layer].gain <= kLeastGain || best[layer].cost > left)
+			                               bestMoves.begin());
+			if (bestMoves[layer].gain <= kMinGain || bestMoves[layer].cost > budgetLeft)
 			{
 				break;
 			}
-			totals.greatest -= greatest(layers[layer]);
-			applyMove(layers[layer], best[layer]);
-			totals.greatest += greatest(layers[layer]);
-			left -= best[layer].cost;
+			totals.maxLoadSum -= maxLoad(layers[layer]);
+			applyMove(layers[layer], bestMoves[layer]);
+			totals.maxLoadSum += maxLoad(layers[layer]);
+			budgetLeft -= bestMoves[layer].cost;
 			if (!limited)
 			{
-				best[layer] = bestMove(layers[layer], limits, _input.slots);
+				bestMoves[layer] = bestMove(layers[layer], limits, _input.slots);
 				continue;
 			}
-			// What a rank has taken in one layer bounds what it may take in the others.
-			countArrivals(limits, layers);
+			// New experts of a rank in one layer reduce what it may receive in the others.
+			countNewExperts(limits, layers);
 			for (std::size_t other = 0; other < layers.size(); ++other)
 			{
-				if (other == layer || !isAllowed(layers[other], limits, best[other]))
+				if (other == layer || !isAllowed(layers[other], limits, bestMoves[other]))
 				{
-					best[other] = bestMove(layers[other], limits, _input.slots);
+					bestMoves[other] = bestMove(layers[other], limits, _input.slots);
 				}
 			}
 		}
 		if (!limited && totals.skew() > _skewTolerance)
 		{
-			totals.greatest -= placeAnewWhereBetter(_input, layers, left);
+			totals.maxLoadSum -= placeFromScratchWhereBetter(_input, layers, budgetLeft);
 		}
 		for (const Layer& layer : layers)
 		{
--- a/src/decide/placement_layer.cpp
+++ b/src/decide/placement_layer.cpp
@@ -7,8 +7,8 @@
 {
 	namespace
 	{
-		/// Coldest ranks that are tried as the new host of an expert.
-		constexpr std::size_t kColdestTried = 4;
+		/// Number of least loaded ranks that are tried as the new host of an expert.
+		constexpr std::size_t kMaxTargetRanks = 4;
 
 		void addLoad(Layer& _layer, std::uint32_t _expert, double _sign)
 		{
@@ -19,39 +19,39 @@
 			}
 		}
 
-		/// Whether a rank must copy an expert that it would host.
-		bool arrives(const Layer& _layer, std::uint32_t _expert, std::uint32_t _rank)
+		/// @returns Whether a rank would have to copy an expert in order to host it.
+		bool needsCopy(const Layer& _layer, std::uint32_t _expert, std::uint32_t _rank)
 		{
-			const std::vector<std::uint32_t>& before = _layer.before[_expert];
+			const std::vector<std::uint32_t>& before = _layer.initialHosts[_expert];
 			return before.end() == std::find(before.begin(), before.end(), _rank);
 		}
 
-		bool mayArrive(const Layer& _layer, const ArrivalLimits& _limits, std::uint32_t _expert, std::uint32_t _rank)
+		bool mayReceive(const Layer& _layer, const NewExpertLimits& _limits, std::uint32_t _expert, std::uint32_t _rank)
 		{
-			if (!arrives(_layer, _expert, _rank))
+			if (!needsCopy(_layer, _expert, _rank))
 			{
 				return true;
 			}
-			const bool rankHasRoom = 0 == _limits.perRank || _limits.taken[_rank] < _limits.perRank;
-			const bool layerHasRoom = 0 == _limits.perLayer || _layer.arrivals[_rank] < _limits.perLayer;
+			const bool rankHasRoom = 0 == _limits.perRank || _limits.newExperts[_rank] < _limits.perRank;
+			const bool layerHasRoom = 0 == _limits.perLayer || _layer.newExperts[_rank] < _limits.perLayer;
 			return rankHasRoom && layerHasRoom;
 		}
 
 		void addHost(Layer& _layer, std::uint32_t _expert, std::uint32_t _rank)
 		{
-			_layer.arrivals[_rank] += arrives(_layer, _expert, _rank) ? 1 : 0;
+			_layer.newExperts[_rank] += needsCopy(_layer, _expert, _rank) ? 1 : 0;
 			addLoad(_layer, _expert, -1.0);
 			_layer.hosts[_expert].push_back(_rank);
-			_layer.guests[_rank].push_back(_expert);
+			_layer.expertsOnRank[_rank].push_back(_expert);
 			addLoad(_layer, _expert, 1.0);
 		}
 
 		void removeHost(Layer& _layer, std::uint32_t _expert, std::uint32_t _rank)
 		{
-			_layer.arrivals[_rank] -= arrives(_layer, _expert, _rank) ? 1 : 0;
+			_layer.newExperts[_rank] -= needsCopy(_layer, _expert, _rank) ? 1 : 0;
 			addLoad(_layer, _expert, -1.0);
 			std::erase(_layer.hosts[_expert], _rank);
-			std::erase(_layer.guests[_rank], _expert);
+			std::erase(_layer.expertsOnRank[_rank], _expert);
 			addLoad(_layer, _expert, 1.0);
 		}
 
@@ -61,7 +61,7 @@
 			{
 				addHost(_layer, _move.evicted, _move.to);
 			}
-			if (_move.leaves)
+			if (_move.dropsSource)
 			{
 				addHost(_layer, _move.expert, _move.from);
 			}
@@ -78,27 +78,27 @@
 			return _layer.hosts[_expert].end() != std::find(_layer.hosts[_expert].begin(), _layer.hosts[_expert].end(), _rank);
 		}
 
-		/// @returns The hottest expert of a rank by what the rank does for it.
-		std::vector<std::uint32_t> hottestGuests(const Layer& _layer, std::uint32_t _rank)
+		/// @returns The experts of a rank, sorted by the load that they cause on it, highest first.
+		std::vector<std::uint32_t> expertsByLoad(const Layer& _layer, std::uint32_t _rank)
 		{
-			std::vector<std::uint32_t> guests = _layer.guests[_rank];
-			std::sort(guests.begin(), guests.end(), [&](std::uint32_t _a, std::uint32_t _b) {
+			std::vector<std::uint32_t> experts = _layer.expertsOnRank[_rank];
+			std::sort(experts.begin(), experts.end(), [&](std::uint32_t _a, std::uint32_t _b) {
 				const double a = _layer.tokens[_a] / double(_layer.hosts[_a].size());
 				const double b = _layer.tokens[_b] / double(_layer.hosts[_b].size());
 				return a != b ? a > b : _a < _b;
 			});
-			return guests;
+			return experts;
 		}
 
-		/// @returns The coldest ranks that may take an expert.
-		std::vector<std::uint32_t> coldestRanks(const Layer& _layer, const ArrivalLimits& _limits, std::uint32_t _expert)
+		/// @returns The least loaded ranks that may receive an expert.
+		std::vector<std::uint32_t> coldestRanks(const Layer& _layer, const NewExpertLimits& _limits, std::uint32_t _expert)
 		{
 			std::vector<std::uint32_t> ranks(_layer.rankLoad.size());
 			std::iota(ranks.begin(), ranks.end(), 0);
 			std::erase_if(ranks, [&](std::uint32_t _rank) {
-				return !mayArrive(_layer, _limits, _expert, _rank);
+				return !mayReceive(_layer, _limits, _expert, _rank);
 			});
-			const std::size_t count = std::min(kColdestTried, ranks.size());
+			const std::size_t count = std::min(kMaxTargetRanks, ranks.size());
 			std::partial_sort(ranks.begin(), ranks.begin() + std::ptrdiff_t(count), ranks.end(), [&](std::uint32_t _a, std::uint32_t _b) {
 				return _layer.rankLoad[_a] != _layer.rankLoad[_b] ? _layer.rankLoad[_a] < _layer.rankLoad[_b] : _a < _b;
 			});
@@ -106,9 +106,9 @@
 			return ranks;
 		}
 
-		/// Load above the mean, squared and summed: falls also when one of several equally
-		/// hot ranks is relieved, where the greatest load doesn't.
-		double excess(const Layer& _layer)
+		/// @returns Sum of the squared loads above the mean. Unlike the maximum load it also decreases when one of
+		/// several equally hot ranks is relieved.
+		double squaredExcess(const Layer& _layer)
 		{
 			const double mean = meanLoad(_layer);
 			double sum = 0.0;
@@ -122,7 +122,7 @@
 		void tryMove(Layer& _layer, Move _move, double _before, Move& _best)
 		{
 			applyMove(_layer, _move);
-			_move.gain = (_before - excess(_layer)) / _move.cost;
+			_move.gain = (_before - squaredExcess(_layer)) / _move.cost;
 			undoMove(_layer, _move);
 			if (_move.gain > _best.gain)
 			{
@@ -130,27 +130,27 @@
 			}
 		}
 
-		/// All ways to relieve a hot rank of one expert through one cold rank.
-		void tryRank(Layer& _layer, const ArrivalLimits& _limits, std::uint32_t _hot, std::uint32_t _expert, std::uint32_t _cold, std::uint32_t _slots, double _before, Move& _best)
+		/// Tries all moves that shift load of one expert from a hot rank to a cold rank.
+		void tryTargetRank(Layer& _layer, const NewExpertLimits& _limits, std::uint32_t _hot, std::uint32_t _expert, std::uint32_t _cold, std::uint32_t _slots, double _before, Move& _best)
 		{
 			if (_hot == _cold || hosts(_layer, _expert, _cold))
 			{
 				return;
 			}
-			if (_layer.guests[_cold].size() < _slots)
+			if (_layer.expertsOnRank[_cold].size() < _slots)
 			{
 				tryMove(_layer, {_expert, _cold, false, 0, false, _hot, false, 0.0, 1.0}, _before, _best);
 				tryMove(_layer, {_expert, _cold, false, 0, false, _hot, true, 0.0, 1.0}, _before, _best);
 				return;
 			}
-			const std::vector<std::uint32_t> guests = _layer.guests[_cold];
-			for (const std::uint32_t evicted : guests)
+			const std::vector<std::uint32_t> experts = _layer.expertsOnRank[_cold];
+			for (const std::uint32_t evicted : experts)
 			{
 				if (1 < _layer.hosts[evicted].size())
 				{
 					tryMove(_layer, {_expert, _cold, true, evicted, false, _hot, false, 0.0, 1.0}, _before, _best);
 				}
-				if (!hosts(_layer, evicted, _hot) && mayArrive(_layer, _limits, evicted, _hot))
+				if (!hosts(_layer, evicted, _hot) && mayReceive(_layer, _limits, evicted, _hot))
 				{
 					tryMove(_layer, {_expert, _cold, true, evicted, true, _hot, true, 0.0, 2.0}, _before, _best);
 				}
@@ -182,14 +182,14 @@
 		{
 			for (const std::uint32_t host : layer.hosts[expert])
 			{
-				layer.guests[host].push_back(expert);
+				layer.expertsOnRank[host].push_back(expert);
 			}
 			addLoad(layer, expert, 1.0);
 		}
 		return layer;
 	}
 
-	double greatest(const Layer& _layer)
+	double maxLoad(const Layer& _layer)
 	{
 		return *std::max_element(_layer.rankLoad.begin(), _layer.rankLoad.end());
 	}
@@ -199,9 +199,9 @@
 		return evenLoad(_layer.rankLoad, _layer.paces);
 	}
 
-	bool isAllowed(const Layer& _layer, const ArrivalLimits& _limits, const Move& _move)
+	bool isAllowed(const Layer& _layer, const NewExpertLimits& _limits, const Move& _move)
 	{
-		return mayArrive(_layer, _limits, _move.expert, _move.to) && (!_move.swaps || mayArrive(_layer, _limits, _move.evicted, _move.from));
+		return mayReceive(_layer, _limits, _move.expert, _move.to) && (!_move.swaps || mayReceive(_layer, _limits, _move.evicted, _move.from));
 	}
 
 	void applyMove(Layer& _layer, const Move& _move)
@@ -211,7 +211,7 @@
 		{
 			addHost(_layer, _move.evicted, _move.from);
 		}
-		if (_move.leaves)
+		if (_move.dropsSource)
 		{
 			removeHost(_layer, _move.expert, _move.from);
 		}
@@ -222,32 +222,32 @@
 		_layer.staged += _move.cost;
 	}
 
-	Move bestMove(Layer& _layer, const ArrivalLimits& _limits, std::uint32_t _slots)
+	Move bestMove(Layer& _layer, const NewExpertLimits& _limits, std::uint32_t _slots)
 	{
-		constexpr std::size_t kGuestsTried = 2;
+		constexpr std::size_t kMaxMovedExperts = 2;
 		const auto hot = std::uint32_t(std::max_element(_layer.rankLoad.begin(), _layer.rankLoad.end()) - _layer.rankLoad.begin());
-		const double before = excess(_layer);
+		const double before = squaredExcess(_layer);
 		Move best;
-		std::vector<std::uint32_t> guests = hottestGuests(_layer, hot);
-		guests.resize(std::min(kGuestsTried, guests.size()));
-		for (const std::uint32_t expert : guests)
+		std::vector<std::uint32_t> experts = expertsByLoad(_layer, hot);
+		experts.resize(std::min(kMaxMovedExperts, experts.size()));
+		for (const std::uint32_t expert : experts)
 		{
 			for (const std::uint32_t cold : coldestRanks(_layer, _limits, expert))
 			{
-				tryRank(_layer, _limits, hot, expert, cold, _slots, before, best);
+				tryTargetRank(_layer, _limits, hot, expert, cold, _slots, before, best);
 			}
 		}
 		return best;
 	}
 
-	void countArrivals(ArrivalLimits& _limits, const std::vector<Layer>& _layers)
+	void countNewExperts(NewExpertLimits& _limits, const std::vector<Layer>& _layers)
 	{
-		std::fill(_limits.taken.begin(), _limits.taken.end(), 0);
+		std::fill(_limits.newExperts.begin(), _limits.newExperts.end(), 0);
 		for (const Layer& layer : _layers)
 		{
-			for (std::size_t rank = 0; rank < _limits.taken.size(); ++rank)
+			for (std::size_t rank = 0; rank < _limits.newExperts.size(); ++rank)
 			{
-				_limits.taken[rank] += layer.arrivals[rank];
+				_limits.newExperts[rank] += layer.newExperts[rank];
 			}
 		}
 	}
--- a/src/decide/placement_window.cpp
+++ b/src/decide/placement_window.cpp
@@ -7,18 +7,19 @@
 {
 	namespace
 	{
-		/// Weight of the newest window in the expected load.
-		constexpr double kNewestShare = 0.6;
-		/// The allowance grows to what this many minutes give, at most.
-		constexpr double kAllowanceMinutes = 1.0;
-		/// Windows above the tolerance before anything moves: a burst that is over by then
-		/// costs nothing.
+		/// Weight of the newest window in the moving mean of the load.
+		constexpr double kNewestWindowWeight = 0.6;
+		/// Maximum allowance, in minutes of expertsPerMinute.
+		constexpr double kMaxAllowanceMinutes = 1.0;
+		/// Consecutive windows above the tolerance before experts are moved, so that a shorter burst causes no
+		/// moves.
 		constexpr std::uint32_t kWindowsBeforeMove = 2;
-		/// A window this many tolerances above the mean is acted on at once, by itself alone.
+		/// A window whose skew exceeds this multiple of the tolerance triggers moves immediately, based on that window
+		/// alone.
 		constexpr double kUrgentTolerances = 3.0;
 		constexpr double kMsPerMinute = 60'000.0;
 
-		void smooth(PlacementState& _state, const ExpertLoad& _window, double _newestShare)
+		void smooth(PlacementState& _state, const ExpertLoad& _window, double _newestWeight)
 		{
 			if (_state.smoothed.size() != _window.size())
 			{
@@ -30,16 +31,16 @@
 				for (std::size_t expert = 0; expert < _window[layer].size(); ++expert)
 				{
 					double& mean = _state.smoothed[layer][expert];
-					mean += _newestShare * (_window[layer][expert] - mean);
+					mean += _newestWeight * (_window[layer][expert] - mean);
 				}
 			}
 		}
 
 		void growAllowance(PlacementState& _state, const PlacementPolicy& _policy, Millis _now)
 		{
-			const double most = _policy.expertsPerMinute * kAllowanceMinutes;
-			const double earned = _state.started ? _policy.expertsPerMinute * double(_now - _state.grownAt) / kMsPerMinute : most;
-			_state.allowance = std::min(most, _state.allowance + earned);
+			const double maxAllowance = _policy.expertsPerMinute * kMaxAllowanceMinutes;
+			const double earned = _state.started ? _policy.expertsPerMinute * double(_now - _state.grownAt) / kMsPerMinute : maxAllowance;
+			_state.allowance = std::min(maxAllowance, _state.allowance + earned);
 			_state.grownAt = _now;
 			_state.started = true;
 		}
@@ -47,9 +48,9 @@
 
 	PlacementPlan decidePlacement(PlacementState& _state, PlacementInput _input, const PlacementPolicy& _policy, Millis _now)
 	{
-		const double now = skewOf(_input.hosts, _input.load, _input.ranks);
-		const bool urgent = now > kUrgentTolerances * _policy.skewTolerance && _state.started;
-		smooth(_state, _input.load, urgent ? 1.0 : kNewestShare);
+		const double windowSkew = skewOf(_input.hosts, _input.load, _input.ranks);
+		const bool urgent = windowSkew > kUrgentTolerances * _policy.skewTolerance && _state.started;
+		smooth(_state, _input.load, urgent ? 1.0 : kNewestWindowWeight);
 		growAllowance(_state, _policy, _now);
 		_input.load = _state.smoothed;
 		_input.budget = _state.allowance;
--- a/src/decide/rank_search.cpp
+++ b/src/decide/rank_search.cpp
@@ -7,23 +7,23 @@
 {
 	namespace
 	{
-		/// Questions of one look: a group of 24 in one zone, or of 12 over three, is found by the
-		/// first, and the smallest VM is busy with them for some 2 ms.
-		constexpr std::size_t kMostAsked = 32;
-		/// One that said it is in another group is asked again after this, ms: groups seldom
-		/// change their ranks, and a new process of an engine is asked at once.
-		constexpr Millis kElsewhereMs = 5'000;
-		/// The same for one that the list of upstreams names no longer and that didn't answer.
-		constexpr Millis kUnlistedMs = 5'000;
+		/// Maximum polls per round. The first round finds a group of 24 ranks in one zone, or of 12 ranks over three
+		/// zones, and takes about 2 ms on the smallest VM.
+		constexpr std::size_t kMaxPolls = 32;
+		/// Poll interval for a candidate that reported another group, ms: ranks seldom change groups, and a new engine
+		/// process is polled immediately.
+		constexpr Millis kOtherGroupIntervalMs = 5'000;
+		/// Poll interval for a candidate that is no longer in the list of upstreams and didn't respond, ms.
+		constexpr Millis kUnlistedIntervalMs = 5'000;
 
 		bool isDue(const SearchCandidate& _candidate, Millis _now)
 		{
-			if (0 != _candidate.elsewhereAt && _now - _candidate.elsewhereAt < kElsewhereMs)
+			if (0 != _candidate.elsewhereAt && _now - _candidate.elsewhereAt < kOtherGroupIntervalMs)
 			{
 				return false;
 			}
-			const bool rests = !_candidate.listed && 0 != _candidate.askedAt && _now - _candidate.askedAt < kUnlistedMs;
-			return !rests;
+			const bool polledRecently = !_candidate.listed && 0 != _candidate.askedAt && _now - _candidate.askedAt < kUnlistedIntervalMs;
+			return !polledRecently;
 		}
 	} // namespace
 
@@ -41,7 +41,7 @@
 				due.push_back(index);
 			}
 		}
-		// Those not heard of yet, nearest first; among equals the one that waits longest.
+		// Candidates without a report first, then by distance; among equals the least recently polled first.
 		const auto order = [&](std::size_t _index) {
 			const SearchCandidate& candidate = _candidates[_index];
 			return std::tuple(0 != candidate.elsewhereAt, !candidate.ownZone, candidate.askedAt);
@@ -49,7 +49,7 @@
 		std::stable_sort(due.begin(), due.end(), [&](std::size_t _a, std::size_t _b) {
 			return order(_a) < order(_b);
 		});
-		due.resize(std::min(due.size(), kMostAsked));
+		due.resize(std::min(due.size(), kMaxPolls));
 		return due;
 	}
 } // namespace archdyke
--- a/src/decide/slow_rank.cpp
+++ b/src/decide/slow_rank.cpp
@@ -4,8 +4,8 @@
 {
 	namespace
 	{
-		/// From this pace on a rank counts as slow: each of its requests costs the group as much as
-		/// two elsewhere.
+		/// Pace from which on a rank is slow: each of its requests then costs the group as much as two on another
+		/// rank.
 		constexpr double kSlowPace = 2.0;
 	} // namespace
 
@@ -16,7 +16,7 @@
 
 	bool shouldLeaveSlow(const RankSlowness& _rank)
 	{
-		const bool late = 0 < _rank.gapObjectiveMs && double(_rank.gapObjectiveMs) < _rank.passMs;
-		return late && isSlow(_rank.pace);
+		const bool isLate = 0 < _rank.gapObjectiveMs && double(_rank.gapObjectiveMs) < _rank.passMs;
+		return isLate && isSlow(_rank.pace);
 	}
 } // namespace archdyke
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -1,5 +1,5 @@
-/// Placement: plans keep every expert hosted, within slots and budget, and never make the
-/// expected skew worse; against naive sums.
+/// Tests placement: plans keep every expert hosted and stay within slots and budget. Skew is compared with a naive
+/// computation.
 #include <algorithm>
 #include <numeric>
 #include <set>
@@ -30,7 +30,7 @@
 		return input;
 	}
 
-	/// Adds up token by token, the slow way.
+	/// @returns Skew computed rank by rank, as a reference.
 	double naiveSkew(const ExpertHosts& _hosts, const ExpertLoad& _load, std::uint32_t _ranks)
 	{
 		double slowest = 0.0;
@@ -72,7 +72,7 @@
 	}
 } // namespace
 
-Test(placement, plans_are_sound)
+Test(placement, plans_are_valid)
 {
 	tests::checkProperty("plans of random loads", [] {
 		const PlacementInput input = makeInput(std::uint32_t(*rc::gen::inRange(2, 8)), std::uint32_t(*rc::gen::inRange(8, 20)), std::uint32_t(*rc::gen::inRange(1, 4)));
