--- a/include/archdyke/forward_switch.h
+++ b/include/archdyke/forward_switch.h
@@ -158,11 +158,11 @@
 	SwitchHistory withStep(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchStep& _step);
 
 	/// @returns The conditions, restricted as the history requires.
-	SwitchPatience withHistory(const SwitchPatience& _patience, const SwitchIntent& _intent, const SwitchHistory& _history);
+	SwitchPatience withHistory(const SwitchPatience& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history);
 
 	/// Decides how to continue an open switch.
 	/// @param[in] _ranks All ranks of the group, each observed after the row was read.
-	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience);
+	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions);
 
 	/// @returns Release orders for holds that belong to no open switch.
 	/// @param[in] _intent The row, read after the ranks were observed.
--- a/include/archdyke/switch_worth.h
+++ b/include/archdyke/switch_worth.h
@@ -43,7 +43,7 @@
 	{
 		std::array<double, kSavingAges.size()> planned{};
 		std::array<double, kSavingAges.size()> saved{};
-		std::deque<PlanTrial> trials; ///< Plans that haven't reached the last age, oldest first.
+		std::deque<PlanTrial> trackedPlans; ///< Plans that haven't reached the last age, oldest first.
 	};
 
 	/// Expected remaining share of a planned saving, and its duration.
--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -43,8 +43,8 @@
 }
 
 [ "$wanted" != "  " ] && [[ "$wanted" != *" none "* ]] || play none
-without map-switching src/decide/map_policy.cpp 'decision.worthwhile = decision.skewBefore - plan.skewAfter >= kLeastGain;' 'decision.worthwhile = false;'
-without skew-tolerance-by-pressure src/decide/map_policy.cpp 'return kMostTolerated + share * (kSkewTolerance - kMostTolerated);' 'return kSkewTolerance + 0.0 * share * kMostTolerated;'
+without map-switching src/decide/map_policy.cpp 'decision.worthwhile = decision.skewBefore - plan.skewAfter >= kMinSkewGain;' 'decision.worthwhile = false;'
+without skew-tolerance-by-pressure src/decide/map_policy.cpp 'return kMaxToleratedSkew + share * (kSkewTolerance - kMaxToleratedSkew);' 'return kSkewTolerance + 0.0 * share * kMaxToleratedSkew;'
 without two-choices src/decide/upstream_choice.cpp 'const std::size_t second = usable[randomBelow(_random, usable.size())];' 'const std::size_t second = first;'
 without own-zone-rank src/decide/upstream_choice.cpp 'constexpr double kZoneAdvantage = 0.02;' 'constexpr double kZoneAdvantage = 0.0;'
 without own-zone-group src/decide/group_choice.cpp 'local.empty() ? best : local' 'best'
--- a/src/decide/forward_switch.cpp
+++ b/src/decide/forward_switch.cpp
@@ -45,12 +45,12 @@
 		}
 
 		/// @returns The row of a switch whose map all ranks have copied, with a boundary beyond the newest step.
-		SwitchIntent switchingRow(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		SwitchIntent switchingRow(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 		{
 			SwitchIntent switching = _intent;
 			switching.phase = SwitchPhase::Switching;
-			switching.boundary = nextBoundary(_intent, _ranks, _patience.marginSteps);
-			switching.last = _patience.avoidedRank;
+			switching.boundary = nextBoundary(_intent, _ranks, _conditions.marginSteps);
+			switching.last = _conditions.avoidedRank;
 			return switching;
 		}
 
@@ -87,7 +87,7 @@
 			});
 		}
 
-		SwitchStep decidePreparing(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		SwitchStep decidePreparing(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 		{
 			SwitchStep step;
 			const auto isPrepared = [&](const RankView& _rank) {
@@ -95,12 +95,12 @@
 			};
 			if (allRanks(_ranks, isPrepared))
 			{
-				step.next = switchingRow(_intent, _ranks, _patience);
+				step.next = switchingRow(_intent, _ranks, _conditions);
 				step.store = true;
 				step.reason = "all_prepared";
 				return step;
 			}
-			if (_patience.giveUp)
+			if (_conditions.giveUp)
 			{
 				step.next = abandonedRow(_intent);
 				step.reason = "preparing_took_too_long";
@@ -117,11 +117,11 @@
 		}
 
 		/// Orders the first eligible rank to hold the group.
-		std::vector<RankOrderPlan> holdAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		std::vector<RankOrderPlan> holdAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 		{
 			for (std::uint32_t rank = 0; rank < _ranks.size(); ++rank)
 			{
-				const bool avoided = rank == _patience.avoidedRank && 1 < _ranks.size();
+				const bool avoided = rank == _conditions.avoidedRank && 1 < _ranks.size();
 				if (_ranks[rank].seen && !_ranks[rank].held && !avoided)
 				{
 					return {{rank, RankOrderKind::Hold, _intent.epoch, 0, _intent.boundary}};
@@ -131,14 +131,14 @@
 		}
 
 		/// Continues a row of an earlier release, which arms no rank before it has stored Switching.
-		SwitchStep decideHolding(const SwitchIntent& _intent, const SwitchPatience& _patience)
+		SwitchStep decideHolding(const SwitchIntent& _intent, const SwitchPatience& _conditions)
 		{
 			SwitchStep step;
-			step.next = _patience.giveUp ? abandonedRow(_intent) : _intent;
-			step.next->phase = _patience.giveUp ? SwitchPhase::Idle : SwitchPhase::Switching;
-			step.next->last = _patience.giveUp ? std::nullopt : _patience.avoidedRank;
+			step.next = _conditions.giveUp ? abandonedRow(_intent) : _intent;
+			step.next->phase = _conditions.giveUp ? SwitchPhase::Idle : SwitchPhase::Switching;
+			step.next->last = _conditions.giveUp ? std::nullopt : _conditions.avoidedRank;
 			step.store = true;
-			step.reason = _patience.giveUp ? "holding_took_too_long" : "holding_carried_on";
+			step.reason = _conditions.giveUp ? "holding_took_too_long" : "holding_carried_on";
 			return step;
 		}
 
@@ -211,7 +211,7 @@
 		/// Voids a switch whose last rank can't be armed, then abandons it.
 		/// @returns None when the switch can continue, or when voiding hasn't started and a rank other than the last
 		/// is unseen or armed.
-		std::optional<SwitchStep> voidSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		std::optional<SwitchStep> voidSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 		{
 			const std::vector<std::uint32_t> others = othersThanLast(_intent, _ranks);
 			const auto countOthers = [&](auto _predicate) {
@@ -223,7 +223,7 @@
 			const std::size_t unarmed = countOthers([](const RankView& _rank, const SwitchIntent& _switch) {
 				return _rank.seen && !isArmed(_rank, _switch) && !isOnMap(_rank, _switch);
 			});
-			const bool startsVoiding = _patience.giveUp && isHeld(_intent, _ranks) && unarmed == others.size();
+			const bool startsVoiding = _conditions.giveUp && isHeld(_intent, _ranks) && unarmed == others.size();
 			if (!_intent.last || others.empty() || (0 == voided && !startsVoiding))
 			{
 				return std::nullopt;
@@ -252,12 +252,12 @@
 		}
 
 		/// @returns Orders that let the group reach the boundary either held or with all ranks armed.
-		std::vector<RankOrderPlan> ordersAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		std::vector<RankOrderPlan> ordersAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 		{
 			const bool allSeen = allRanks(_ranks, [](const RankView& _rank) {
 				return _rank.seen;
 			});
-			const bool allInReach = allSeen && _patience.allReachable;
+			const bool allInReach = allSeen && _conditions.allReachable;
 			if (isHeld(_intent, _ranks))
 			{
 				// Once a rank is armed, the switch can't be voided and the group stalls until all ranks are armed, so
@@ -271,10 +271,10 @@
 				return isArmed(_rank, _intent);
 			});
 			const bool shouldHold = allInReach && !released && newestStep(_ranks) < _intent.boundary;
-			return shouldHold ? holdAtBoundary(_intent, _ranks, _patience) : std::vector<RankOrderPlan>();
+			return shouldHold ? holdAtBoundary(_intent, _ranks, _conditions) : std::vector<RankOrderPlan>();
 		}
 
-		SwitchStep decideSwitching(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+		SwitchStep decideSwitching(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 		{
 			SwitchStep step;
 			const bool onMap = allRanks(_ranks, [&](const RankView& _rank) {
@@ -290,16 +290,16 @@
 			const bool prepared = allRanks(_ranks, [&](const RankView& _rank) {
 				return _rank.prepared == _intent.version;
 			});
-			const bool abandons = passed ? _patience.giveUp || !prepared : _patience.giveUp && _patience.nobodyArmed;
+			const bool abandons = passed ? _conditions.giveUp || !prepared : _conditions.giveUp && _conditions.nobodyArmed;
 			if (abandons || passed)
 			{
-				step.next = abandons ? abandonedRow(_intent) : switchingRow(_intent, _ranks, _patience);
+				step.next = abandons ? abandonedRow(_intent) : switchingRow(_intent, _ranks, _conditions);
 				step.store = true;
 				step.reason = passed ? "boundary_passed_without_a_hold" : "holding_took_too_long";
 				return step;
 			}
-			step.orders = ordersAtBoundary(_intent, _ranks, _patience);
-			return voidSwitch(_intent, _ranks, _patience).value_or(step);
+			step.orders = ordersAtBoundary(_intent, _ranks, _conditions);
+			return voidSwitch(_intent, _ranks, _conditions).value_or(step);
 		}
 	} // namespace
 
@@ -335,7 +335,7 @@
 		}
 	}
 
-	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _patience)
+	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
 	{
 		if (SwitchPhase::Idle != _intent.phase && epochIsOver(_intent, _ranks))
 		{
@@ -344,11 +344,11 @@
 		switch (_intent.phase)
 		{
 		case SwitchPhase::Preparing:
-			return decidePreparing(_intent, _ranks, _patience);
+			return decidePreparing(_intent, _ranks, _conditions);
 		case SwitchPhase::Holding:
-			return decideHolding(_intent, _patience);
+			return decideHolding(_intent, _conditions);
 		case SwitchPhase::Switching:
-			return decideSwitching(_intent, _ranks, _patience);
+			return decideSwitching(_intent, _ranks, _conditions);
 		default:
 			return {};
 		}
--- a/src/decide/switch_history.cpp
+++ b/src/decide/switch_history.cpp
@@ -7,7 +7,7 @@
 {
 	namespace
 	{
-		BoundaryMark markOf(const SwitchIntent& _intent)
+		BoundaryMark boundaryIdOf(const SwitchIntent& _intent)
 		{
 			return {_intent.version, _intent.boundary};
 		}
@@ -16,7 +16,7 @@
 	SwitchHistory historyOf(const SwitchIntent& _row)
 	{
 		SwitchHistory history;
-		history.inherited = SwitchPhase::Switching == _row.phase ? markOf(_row) : BoundaryMark();
+		history.inherited = SwitchPhase::Switching == _row.phase ? boundaryIdOf(_row) : BoundaryMark();
 		return history;
 	}
 
@@ -26,25 +26,25 @@
 		const bool sendsArm = std::any_of(_step.orders.begin(), _step.orders.end(), [](const RankOrderPlan& _order) {
 			return RankOrderKind::Arm == _order.kind;
 		});
-		history.armed = sendsArm ? markOf(_intent) : history.armed;
+		history.armed = sendsArm ? boundaryIdOf(_intent) : history.armed;
 		for (const RankOrderPlan& order : _step.orders)
 		{
 			const bool preparesAgain = RankOrderKind::Prepare == order.kind && order.version != _intent.version;
 			history.version = preparesAgain ? std::max(history.version, order.version) : history.version;
 		}
 		const bool abandons = _step.next && _step.store && SwitchPhase::Idle == _step.next->phase;
-		history.givenUp = abandons ? markOf(_intent) : history.givenUp;
+		history.givenUp = abandons ? boundaryIdOf(_intent) : history.givenUp;
 		return history;
 	}
 
-	SwitchPatience withHistory(const SwitchPatience& _patience, const SwitchIntent& _intent, const SwitchHistory& _history)
+	SwitchPatience withHistory(const SwitchPatience& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history)
 	{
-		SwitchPatience patience = _patience;
-		const BoundaryMark mark = markOf(_intent);
+		SwitchPatience conditions = _conditions;
+		const BoundaryMark boundaryId = boundaryIdOf(_intent);
 		const bool switching = SwitchPhase::Switching == _intent.phase;
-		patience.nobodyArmed = switching && mark != _history.inherited && mark != _history.armed;
-		patience.giveUp = patience.giveUp || (switching && mark == _history.givenUp);
-		return patience;
+		conditions.nobodyArmed = switching && boundaryId != _history.inherited && boundaryId != _history.armed;
+		conditions.giveUp = conditions.giveUp || (switching && boundaryId == _history.givenUp);
+		return conditions;
 	}
 
 	std::optional<SwitchIntent> beginSwitch(const SwitchIntent& _idle, std::uint64_t _epoch, ExpertHosts _map, std::uint64_t _used)
--- a/src/decide/switch_worth.cpp
+++ b/src/decide/switch_worth.cpp
@@ -20,11 +20,11 @@
 		/// Time constant with which observed durations lose their weight, ms: a slow store usually recovers within
 		/// seconds.
 		constexpr double kSwitchDecayMs = 8'000.0;
-		/// Minimum interval between two trials, ms: windows overlap, so a closer one adds no information.
-		constexpr Millis kMinTrialIntervalMs = 400;
-		/// Factor on the weight of older trials when one is added: about twelve count, from about 5 s.
-		constexpr double kTrialDecay = 0.92;
-		/// Weight of the initial estimate among the trials, as skew: about that of one plan.
+		/// Minimum interval between two tracked plans, ms: windows overlap, so a closer one adds no information.
+		constexpr Millis kMinTrackingIntervalMs = 400;
+		/// Factor on the weight of older comparisons when one is added: about twelve plans count, from about 5 s.
+		constexpr double kTrackedPlanDecay = 0.92;
+		/// Weight of the initial estimate among the comparisons, in units of skew: about that of one plan.
 		constexpr double kInitialWeight = 0.5;
 		/// Initial estimate of the duration of a demand, in stream durations: topics outlast single requests.
 		constexpr double kDemandStreamDurations = 3.0;
@@ -155,10 +155,10 @@
 			return same;
 		}
 
-		/// @returns Whether another trial may start.
-		bool trialIsDue(const SavingRecord& _record, Millis _now)
+		/// @returns Whether another plan may be tracked.
+		bool isTrackingDue(const SavingRecord& _record, Millis _now)
 		{
-			return _record.trials.empty() || _now - _record.trials.back().at >= kMinTrialIntervalMs;
+			return _record.trackedPlans.empty() || _now - _record.trackedPlans.back().at >= kMinTrackingIntervalMs;
 		}
 
 		/// @returns Saving minus cost, ms of full service.
@@ -231,33 +231,33 @@
 	void addTrial(SavingRecord& _record, const ExpertHosts& _before, const MapDecision& _plan, Millis _now)
 	{
 		const double planned = _plan.skewBefore - _plan.skewAfter;
-		if (trialIsDue(_record, _now) && 0.0 < planned && !_plan.hosts.empty())
+		if (isTrackingDue(_record, _now) && 0.0 < planned && !_plan.hosts.empty())
 		{
-			_record.trials.push_back({_now, _before, _plan.hosts, planned, 0});
+			_record.trackedPlans.push_back({_now, _before, _plan.hosts, planned, 0});
 		}
 	}
 
 	void takeCounts(SavingRecord& _record, const ExpertLoad& _load, std::uint32_t _ranks, const std::vector<double>& _paces, Millis _now)
 	{
-		for (PlanTrial& trial : _record.trials)
+		for (PlanTrial& tracked : _record.trackedPlans)
 		{
-			const bool sameShape = hasDimensions(trial.before, _load, _ranks) && hasDimensions(trial.after, _load, _ranks);
-			while (trial.nextAge < kSavingAges.size() && trial.at + kSavingAges[trial.nextAge] <= _now)
+			const bool sameShape = hasDimensions(tracked.before, _load, _ranks) && hasDimensions(tracked.after, _load, _ranks);
+			while (tracked.nextAge < kSavingAges.size() && tracked.at + kSavingAges[tracked.nextAge] <= _now)
 			{
-				const std::size_t age = trial.nextAge++;
-				const bool missed = age + 1 < kSavingAges.size() && trial.at + kSavingAges[age + 1] <= _now;
+				const std::size_t age = tracked.nextAge++;
+				const bool missed = age + 1 < kSavingAges.size() && tracked.at + kSavingAges[age + 1] <= _now;
 				if (missed || !sameShape)
 				{
 					continue; // no counts arrived in time; the current ones belong to a later age
 				}
-				const double saved = skewOf(trial.before, _load, _ranks, _paces) - skewOf(trial.after, _load, _ranks, _paces);
-				_record.planned[age] = kTrialDecay * _record.planned[age] + trial.planned;
-				_record.saved[age] = kTrialDecay * _record.saved[age] + std::min(saved, trial.planned);
+				const double saved = skewOf(tracked.before, _load, _ranks, _paces) - skewOf(tracked.after, _load, _ranks, _paces);
+				_record.planned[age] = kTrackedPlanDecay * _record.planned[age] + tracked.planned;
+				_record.saved[age] = kTrackedPlanDecay * _record.saved[age] + std::min(saved, tracked.planned);
 			}
 		}
-		while (!_record.trials.empty() && kSavingAges.size() <= _record.trials.front().nextAge)
+		while (!_record.trackedPlans.empty() && kSavingAges.size() <= _record.trackedPlans.front().nextAge)
 		{
-			_record.trials.pop_front();
+			_record.trackedPlans.pop_front();
 		}
 	}
 
@@ -332,7 +332,7 @@
 		{
 			return choice;
 		}
-		if (useEstimate && !trialIsDue(_record, _now))
+		if (useEstimate && !isTrackingDue(_record, _now))
 		{
 			// Skips planning if not even a map without skew and without copies would pay off.
 			const SwitchChoice ideal = estimate(inputs, choice.plan);
--- a/tests/switch_explorer.h
+++ b/tests/switch_explorer.h
@@ -176,8 +176,8 @@
 				return;
 			}
 			const SwitchIntent intent = intentOf(state.intent);
-			const SwitchPatience patience = withHistory({1, _giveUp, true, std::uint32_t(_coordinator % this->bounds.ranks)}, intent, this->effectiveHistory(state.history));
-			const SwitchStep step = decideSwitch(intent, this->bounds.delayedObservations ? state.observations : this->views(_world, state.intent), patience);
+			const SwitchPatience conditions = withHistory({1, _giveUp, true, std::uint32_t(_coordinator % this->bounds.ranks)}, intent, this->effectiveHistory(state.history));
+			const SwitchStep step = decideSwitch(intent, this->bounds.delayedObservations ? state.observations : this->views(_world, state.intent), conditions);
 			if (!step.next && step.orders.empty())
 			{
 				return;
--- a/tests/switch_world.h
+++ b/tests/switch_world.h
@@ -152,10 +152,10 @@
 		for (CoordinatorState& state : _world.coordinatorStates)
 		{
 			state = state.acting ? state : CoordinatorState();
-			for (BoundaryMark* mark : {&state.history.inherited, &state.history.armed, &state.history.givenUp})
+			for (BoundaryMark* boundaryId : {&state.history.inherited, &state.history.armed, &state.history.givenUp})
 			{
-				const bool over = mark->version < state.intent.version || mark->step < state.intent.boundary;
-				*mark = over ? BoundaryMark() : *mark; // versions and boundaries only increase
+				const bool over = boundaryId->version < state.intent.version || boundaryId->step < state.intent.boundary;
+				*boundaryId = over ? BoundaryMark() : *boundaryId; // versions and boundaries only increase
 			}
 		}
 	}
