--- a/include/archdyke/acceptance.h
+++ b/include/archdyke/acceptance.h
@@ -57,28 +57,28 @@
 
 	/// Records a staged version whose bytes are held. Ignores a version that isn't newer than the head.
 	/// @returns Whether anything changed.
-	bool holdStaged(HeldConfig& _held, const ConfigMark& _staged);
+	bool recordStaged(HeldConfig& _held, const ConfigMark& _staged);
 
 	/// Versions that a peer of the same zone reports to hold.
-	struct PeerHolding
+	struct PeerConfig
 	{
 		std::string name;
 		ConfigMark head;
 		ConfigMark staged;
 
-		bool operator==(const PeerHolding&) const = default;
+		bool operator==(const PeerConfig&) const = default;
 	};
 
 	/// @returns Whether a zone may confirm a staged version: this entry holds it, and every reachable
 	/// entry of its zone holds it or has it or a newer one in force.
-	bool zoneHolds(const HeldConfig& _held, const std::vector<PeerHolding>& _zonePeers, const ConfigMark& _staged);
+	bool mayConfirmStaged(const HeldConfig& _held, const std::vector<PeerConfig>& _zonePeers, const ConfigMark& _staged);
 
 	/// Result of a check of the confirmations.
-	struct AcceptanceView
+	struct AcceptanceStatus
 	{
 		std::vector<std::string> missing; ///< Zones that have not confirmed yet.
 
-		bool operator==(const AcceptanceView&) const = default;
+		bool operator==(const AcceptanceStatus&) const = default;
 	};
 
 	/// A zone's confirmation, from the table.
@@ -92,7 +92,7 @@
 	};
 
 	/// @returns The zones with live entries that have not confirmed the staged row.
-	AcceptanceView viewAcceptance(const StageRow& _stage, const std::vector<std::string>& _zonesWithEntries, const std::vector<ZoneConfirmation>& _confirmations);
+	AcceptanceStatus checkAcceptance(const StageRow& _stage, const std::vector<std::string>& _zonesWithEntries, const std::vector<ZoneConfirmation>& _confirmations);
 
 	/// How an apply ended.
 	enum class ApplyEnd
@@ -107,5 +107,5 @@
 	/// @param[in] _accepted Nonce of the apply that accepted the staged version's number, if any did.
 	/// Written together with the head in one transaction.
 	/// @returns Accepted or Conflict; none if the update has not taken effect.
-	std::optional<ApplyEnd> settleMove(const StageRow& _stage, const std::optional<std::string>& _accepted);
+	std::optional<ApplyEnd> resolveHeadUpdate(const StageRow& _stage, const std::optional<std::string>& _accepted);
 } // namespace archdyke
--- a/include/archdyke/admission.h
+++ b/include/archdyke/admission.h
@@ -34,7 +34,7 @@
 	};
 
 	/// State of the admission queue.
-	struct Admission
+	struct AdmissionQueue
 	{
 		std::uint32_t slots = 1;  ///< Runs that the upstream can execute at once.
 		std::size_t capacity = 0; ///< Maximum number of queued runs.
@@ -47,7 +47,7 @@
 	};
 
 	/// Result of offering a run.
-	struct AdmitResult
+	struct AdmissionResult
 	{
 		RefusalReason refusal = RefusalReason::None;
 		Millis retryAfterMs = 0;       ///< Retry delay for the refused or the evicted run.
@@ -64,22 +64,22 @@
 	/// @returns Estimated queueing time of a run of the organisation that arrives now, ms: queued
 	/// runs ahead of it, times the mean run time, divided by the slots. An organisation waits at
 	/// most for its own runs at its share of the slots.
-	Millis estimateWaitMs(const Admission& _admission, const std::string& _organisation, std::uint32_t _weight);
+	Millis estimateWaitMs(const AdmissionQueue& _admission, const std::string& _organisation, std::uint32_t _weight);
 
 	/// Offers a run to the queue. Refuses at once a run that can't finish by its deadline.
 	/// The retry times of refused callers are spaced at the rate at which their organisation is
 	/// served, so that they don't all retry together.
 	/// When the queue is full, the newest run of the organisation with the most queued runs for
 	/// its weight is evicted, or the offered run is refused if that organisation offered it.
-	AdmitResult admitRun(Admission& _admission, const QueuedRun& _run, Millis _now);
+	AdmissionResult admitRun(AdmissionQueue& _admission, const QueuedRun& _run, Millis _now);
 
 	/// Dequeues the next run if a slot is free, and all expired ones. Start-time fair queueing, see P. Goyal,
 	/// H. M. Vin, H. Cheng, "Start-time Fair Queueing", SIGCOMM 1996.
-	TakeResult takeRun(Admission& _admission, Millis _now);
+	TakeResult takeRun(AdmissionQueue& _admission, Millis _now);
 
 	/// Removes a queued run, if present.
-	void removeRun(Admission& _admission, const RunKey& _key);
+	void removeRun(AdmissionQueue& _admission, const RunKey& _key);
 
 	/// Releases the slot of a finished run.
-	void endRun(Admission& _admission, Millis _runMs);
+	void endRun(AdmissionQueue& _admission, Millis _runMs);
 } // namespace archdyke
--- a/include/archdyke/back_off.h
+++ b/include/archdyke/back_off.h
@@ -21,12 +21,12 @@
 
 	/// @param[in] _seconds Value of a Retry-After header (RFC 9110, 10.2.3): "3", "1.5".
 	/// @returns The delay in ms, a year at most; none when it isn't a number of seconds. The date form that HTTP allows isn't supported.
-	std::optional<Millis> parseBackOff(std::string_view _seconds);
+	std::optional<Millis> parseRetryAfter(std::string_view _seconds);
 
 	/// Records a back-off requested by an upstream. A later, shorter request doesn't end an active back-off earlier.
 	/// @returns Whether no back-off was active before.
-	bool noteBackOff(BackOff& _backOff, Millis _askedMs, Millis _now);
+	bool recordBackOff(BackOff& _backOff, Millis _askedMs, Millis _now);
 
 	/// @returns Remaining back-off of the upstream, ms.
-	Millis backOffLeftMs(const BackOff& _backOff, Millis _now);
+	Millis remainingBackOffMs(const BackOff& _backOff, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/catalog.h
+++ b/include/archdyke/catalog.h
@@ -92,14 +92,14 @@
 	};
 
 	/// Size and time limits for requests of callers.
-	struct CallerLimits
+	struct RequestLimits
 	{
 		std::size_t headerBytes = 16'384;
 		std::size_t bodyBytes = std::size_t(4) << 20;
 		Millis headerTimeoutMs = 3'000;
 		Millis idleTimeoutMs = 15'000;
 
-		bool operator==(const CallerLimits&) const = default;
+		bool operator==(const RequestLimits&) const = default;
 	};
 
 	/// An organisation, identified by its keys, to which requests are accounted.
@@ -119,7 +119,7 @@
 		std::vector<CatalogRoute> routes;
 		std::vector<CatalogService> services;
 		std::vector<CatalogOrganisation> organisations; ///< None: requests need no key.
-		CallerLimits limits;
+		RequestLimits limits;
 
 		bool operator==(const Catalog&) const = default;
 	};
--- a/include/archdyke/claim.h
+++ b/include/archdyke/claim.h
@@ -46,5 +46,5 @@
 	};
 
 	/// Evaluates a claim's row for the request with _nonce.
-	ClaimVerdict readClaim(const std::optional<ClaimRow>& _row, std::string_view _nonce);
+	ClaimVerdict evaluateClaim(const std::optional<ClaimRow>& _row, std::string_view _nonce);
 } // namespace archdyke
--- a/include/archdyke/cold_share.h
+++ b/include/archdyke/cold_share.h
@@ -19,21 +19,21 @@
 namespace archdyke
 {
 	/// Capacity of a cold upstream and who shares it.
-	struct ColdTerms
+	struct ColdCapacity
 	{
-		double bornePerS = 0.0;     ///< Arrivals per second that it sustains, from all gateways together.
-		double mostPerS = 0.0;      ///< Arrivals in any one second that it survives.
+		double sustainedPerS = 0.0; ///< Arrivals per second that it sustains, from all gateways together.
+		double peakPerS = 0.0;      ///< Arrivals in any one second that it survives.
 		std::uint32_t gateways = 1; ///< Gateways that share these rates.
-		Millis assumedMs = 0;       ///< Assumed cold time of an upstream that may have become cold and doesn't report it.
+		Millis assumedColdMs = 0;   ///< Assumed cold time of an upstream that may have become cold and doesn't report it.
 
-		bool operator==(const ColdTerms&) const = default;
+		bool operator==(const ColdCapacity&) const = default;
 	};
 
 	/// Sends of one gateway to one cold upstream in a window.
 	struct ColdShare
 	{
-		std::uint32_t sends = 0;   ///< Sends of each gateway.
-		double chanceOfMore = 0.0; ///< Share of the gateways that get one more send, 0 to 1.
+		std::uint32_t sends = 0;           ///< Sends of each gateway.
+		double extraSendProbability = 0.0; ///< Share of the gateways that get one more send, 0 to 1.
 
 		bool operator==(const ColdShare&) const = default;
 	};
@@ -52,24 +52,24 @@
 	/// partitioned gets no reports.
 	/// @param[in] _upstreams Number of upstreams of all services.
 	/// @param[in] _windowMs The maximum of the counts reported in this time is used.
-	std::uint32_t gatewaysAssumed(const ResendShare& _told, std::size_t _upstreams, Millis _windowMs, Millis _now);
+	std::uint32_t estimateGatewayCount(const ResendShare& _told, std::size_t _upstreams, Millis _windowMs, Millis _now);
 
 	/// @returns Shares that keep all gateways together within the capacity.
-	ColdShare coldShareOf(const ColdTerms& _terms);
+	ColdShare computeColdShare(const ColdCapacity& _terms);
 
 	/// @returns Sends of a gateway to an upstream per window. Unchanged by a restart of the gateway.
-	std::uint32_t sendsInWindow(const ColdShare& _share, std::string_view _gateway, std::string_view _incarnation);
+	std::uint32_t coldSendsPerWindow(const ColdShare& _share, std::string_view _gateway, std::string_view _incarnation);
 
 	/// Records that an upstream is cold for some time. Never shortens a known cold time.
-	void noteCold(ColdState& _state, Millis _forMs, Millis _now);
+	void recordCold(ColdState& _state, Millis _forMs, Millis _now);
 
 	/// @returns Remaining cold time of an upstream, ms.
-	Millis warmInMs(const ColdState& _state, Millis _now);
+	Millis remainingColdMs(const ColdState& _state, Millis _now);
 
 	/// @returns Whether this gateway may send to a cold upstream now.
-	/// @param[in] _sends Sends per window that this gateway has; see sendsInWindow.
+	/// @param[in] _sends Sends per window that this gateway has; see coldSendsPerWindow.
 	bool maySendCold(const ColdState& _state, std::uint32_t _sends, Millis _now);
 
 	/// Records a send of this gateway to a cold upstream.
-	void noteColdSend(ColdState& _state, Millis _now);
+	void recordColdSend(ColdState& _state, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/come_back.h
+++ b/include/archdyke/come_back.h
@@ -31,5 +31,5 @@
 	/// @param[in] _reopenMs Expected time until the cause is over; none when unknown.
 	/// @param[in] _patienceMs Time until the caller gives up.
 	/// @returns Retry delay, ms, with jitter so that callers refused together don't retry together.
-	Millis comeBackAfter(RefusalCause _cause, std::optional<Millis> _reopenMs, Millis _patienceMs, Random& _random);
+	Millis chooseRetryDelayMs(RefusalCause _cause, std::optional<Millis> _reopenMs, Millis _patienceMs, Random& _random);
 } // namespace archdyke
--- a/include/archdyke/crash_blame.h
+++ b/include/archdyke/crash_blame.h
@@ -36,15 +36,15 @@
 	constexpr std::size_t kCrashesToRefuse = 3;
 	/// How long a crash stays attributed to a request: callers retry for minutes, and a faulty release of the
 	/// upstream is rolled back within this time.
-	constexpr Millis kBlameMs = 600'000;
+	constexpr Millis kCrashLifetimeMs = 600'000;
 
 	/// Records that an upstream crashed while it ran a request.
 	/// @param[in] _at Local clock.
 	/// @returns Whether the crash is new.
-	bool noteCrash(CrashTable& _table, const Crash& _crash, Millis _at);
+	bool recordCrash(CrashTable& _table, const Crash& _crash, Millis _at);
 
 	/// Removes a crash.
-	void dropCrash(CrashTable& _table, const Crash& _crash);
+	void removeCrash(CrashTable& _table, const Crash& _crash);
 
 	/// @returns Whether a crash is recorded.
 	bool isHeld(const CrashTable& _table, const Crash& _crash);
@@ -54,18 +54,18 @@
 	std::vector<Crash> clearRequest(CrashTable& _table, const std::string& _request);
 
 	/// @returns Number of upstreams that recently crashed while they ran a request.
-	std::size_t crashesOf(const CrashTable& _table, const std::string& _request, Millis _now);
+	std::size_t countCrashes(const CrashTable& _table, const std::string& _request, Millis _now);
 
 	/// @returns How much longer a request is refused, ms; none if it may run.
-	std::optional<Millis> refusedForMs(const CrashTable& _table, const std::string& _request, Millis _now);
+	std::optional<Millis> remainingRefusalMs(const CrashTable& _table, const std::string& _request, Millis _now);
 
 	/// Removes expired crashes.
 	/// @returns The removed crashes.
-	std::vector<Crash> forgetCrashes(CrashTable& _table, Millis _now);
+	std::vector<Crash> removeExpiredCrashes(CrashTable& _table, Millis _now);
 
 	/// Recently completed requests, by hash, in two generations. When many callers send the same request, it may
 	/// be running on each of several upstreams that crash together without being the cause.
-	struct RecentRuns
+	struct RecentCompletions
 	{
 		absl::flat_hash_set<std::size_t> newer;
 		absl::flat_hash_set<std::size_t> older;
@@ -75,11 +75,11 @@
 	/// Time for which a generation is filled.
 	constexpr Millis kGenerationMs = 10'000;
 	/// Maximum requests per generation; more are ignored.
-	constexpr std::size_t kMostRuns = 50'000;
+	constexpr std::size_t kMaxRunsPerGeneration = 50'000;
 
 	/// Records a completed run of a request.
-	void noteRun(RecentRuns& _runs, std::size_t _request, Millis _now);
+	void recordCompletion(RecentCompletions& _runs, std::size_t _request, Millis _now);
 
 	/// @returns Whether a request completed recently: within one to two generations.
-	bool ranLately(const RecentRuns& _runs, std::size_t _request, Millis _now);
+	bool completedRecently(const RecentCompletions& _runs, std::size_t _request, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/evacuation.h
+++ b/include/archdyke/evacuation.h
@@ -36,7 +36,7 @@
 	struct OperatorTable
 	{
 		std::map<std::string, ZoneEvacuation> zones; ///< Includes zones whose evacuation ended, so that an older row doesn't start it again.
-		std::uint64_t knownUpTo = 0;                 ///< All changes up to this version are applied.
+		std::uint64_t knownVersion = 0;              ///< All changes up to this version are applied.
 
 		bool operator==(const OperatorTable&) const = default;
 	};
@@ -56,12 +56,12 @@
 	/// @param[in] _version Version up to which it includes all changes.
 	/// @param[in] _whole It is a full read: a zone without a row isn't evacuated.
 	/// @returns The resulting changes.
-	std::vector<ZoneChange> takeEvacuations(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, bool _whole);
+	std::vector<ZoneChange> applyEvacuationRows(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, bool _whole);
 
 	/// @returns Whether another process's proof covers a change that isn't known here. Otherwise the proof also
 	/// holds for the state known here.
 	/// @param[in] _changedAt Version of the newest change up to the proof.
-	bool isBehind(const OperatorTable& _table, std::uint64_t _changedAt);
+	bool isMissingChange(const OperatorTable& _table, std::uint64_t _changedAt);
 
 	/// @returns Whether a zone is evacuated: its upstreams get no requests.
 	bool isEvacuated(const OperatorTable& _table, const std::string& _zone);
--- a/include/archdyke/event_stream.h
+++ b/include/archdyke/event_stream.h
@@ -40,5 +40,5 @@
 
 	/// @returns How to handle an event.
 	/// @param[in] _delivered Id of the last event delivered to the caller; none before the first.
-	EventVerdict judgeEvent(const StreamEvent& _event, std::optional<std::uint64_t> _delivered);
+	EventVerdict classifyEvent(const StreamEvent& _event, std::optional<std::uint64_t> _delivered);
 } // namespace archdyke
--- a/include/archdyke/freshness.h
+++ b/include/archdyke/freshness.h
@@ -22,19 +22,19 @@
 
 	/// Updates the clock offset from a response of the store.
 	/// @param[in] _sentAt Local clock when the call was sent.
-	void noteClock(Freshness& _freshness, Millis _sentAt, Millis _storeTime);
+	void recordStoreClock(Freshness& _freshness, Millis _sentAt, Millis _storeTime);
 
 	/// Records a response of the store that shows the newest configuration.
 	/// @param[in] _sentAt Local clock when the call was sent.
 	/// @param[in] _storeTime The store's clock when it responded; none if it didn't report it.
-	void noteProof(Freshness& _freshness, Millis _sentAt, std::optional<Millis> _storeTime);
+	void recordProof(Freshness& _freshness, Millis _sentAt, std::optional<Millis> _storeTime);
 
 	/// @returns The store's time converted to the local clock, conservatively; none before the first call.
-	std::optional<Millis> ownTimeOf(const Freshness& _freshness, Millis _storeTime);
+	std::optional<Millis> toLocalTime(const Freshness& _freshness, Millis _storeTime);
 
 	/// Records a proof of the held configuration that another process got from the store and relayed.
 	/// @param[in] _storeTime The store's clock when it responded to that process.
-	void noteToldProof(Freshness& _freshness, Millis _storeTime);
+	void recordRelayedProof(Freshness& _freshness, Millis _storeTime);
 
 	/// @returns Age of the proof, ms; none before the first one.
 	std::optional<Millis> proofAge(const Freshness& _freshness, Millis _now);
--- a/include/archdyke/group_choice.h
+++ b/include/archdyke/group_choice.h
@@ -15,7 +15,7 @@
 namespace archdyke
 {
 	/// Status of a group, best first.
-	enum class GroupStanding
+	enum class GroupStatus
 	{
 		InTime,  ///< Open; its passes meet the objective for gaps between events.
 		Late,    ///< Open; its passes miss that objective.
@@ -25,14 +25,14 @@
 	};
 
 	/// @returns The name used in logs.
-	std::string_view toString(GroupStanding _standing);
+	std::string_view toString(GroupStatus _standing);
 
 	/// A group to choose from.
 	struct GroupCandidate
 	{
-		GroupStanding standing = GroupStanding::Unknown;
-		bool hasRoom = true;        ///< One more request stays within the limit of its ranks.
-		double fullness = 0.0;      ///< Requests per rank, including the new one, divided by the limit per rank.
+		GroupStatus standing = GroupStatus::Unknown;
+		bool hasCapacity = true;    ///< One more request stays within the limit of its ranks.
+		double utilization = 0.0;   ///< Requests per rank, including the new one, divided by the limit per rank.
 		double room = 1.0;          ///< Free capacity: further requests that its ranks may take together.
 		double ownZoneShare = 0.0;  ///< Share of its ranks in the own zone, 0 to 1.
 		bool failedRequest = false; ///< This request already failed there.
@@ -47,5 +47,5 @@
 	std::optional<std::size_t> chooseGroup(const std::vector<GroupCandidate>& _candidates, Random& _random);
 
 	/// Baseline for comparison: chooses the least utilized group of any zone.
-	std::optional<std::size_t> chooseEmptiestGroup(const std::vector<GroupCandidate>& _candidates);
+	std::optional<std::size_t> chooseLeastUtilizedGroup(const std::vector<GroupCandidate>& _candidates);
 } // namespace archdyke
--- a/include/archdyke/lease.h
+++ b/include/archdyke/lease.h
@@ -26,8 +26,8 @@
 	{
 		std::uint64_t self = 0;
 		std::optional<LeaseRow> seen;
-		Millis seenSince = 0; ///< When the current state of the row was first seen, local clock.
-		Millis actUntil = 0;  ///< Until when this process may act as holder.
+		Millis seenSince = 0;   ///< When the current state of the row was first seen, local clock.
+		Millis mayActUntil = 0; ///< Until when this process may act as holder.
 	};
 
 	/// Next write to the row, if any.
@@ -45,7 +45,7 @@
 
 	/// Records that a write started at _begunAt took effect. The time to act counts from the start of
 	/// the write, so that a pause during it shortens that time.
-	void leaseWritten(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now);
+	void recordLeaseWrite(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now);
 
 	/// @returns The fencing token while this process may act as holder, else none.
 	std::optional<std::uint64_t> actingFence(const LeaseView& _view, Millis _now);
--- a/include/archdyke/ledger.h
+++ b/include/archdyke/ledger.h
@@ -85,5 +85,5 @@
 	RevokeState revokeRun(Ledger& _ledger, const RunKey& _key, const Session& _session, Millis _now);
 
 	/// Removes ended runs older than kLedgerKeepMs and session floors older than kSessionFloorKeepMs.
-	void forgetRuns(Ledger& _ledger, Millis _now);
+	void removeExpiredRuns(Ledger& _ledger, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/limits.h
+++ b/include/archdyke/limits.h
@@ -18,20 +18,20 @@
 	};
 
 	/// State of a token bucket. A new bucket is full.
-	struct Bucket
+	struct TokenBucket
 	{
 		double tokens = 0.0;
 		Millis updatedAt = 0;
 		bool used = false;
 
-		bool operator==(const Bucket&) const = default;
+		bool operator==(const TokenBucket&) const = default;
 	};
 
 	/// @returns The share of a limit that each of _entries entries enforces. The shares add up to
 	/// the limit, except that each entry allows a burst of at least one request.
-	RateLimit shareOf(const RateLimit& _limit, std::uint32_t _entries);
+	RateLimit rateLimitPerEntry(const RateLimit& _limit, std::uint32_t _entries);
 
 	/// Takes a token.
 	/// @returns None if a token was taken, else the time until the next token, ms.
-	std::optional<Millis> takeToken(Bucket& _bucket, const RateLimit& _limit, Millis _now);
+	std::optional<Millis> takeToken(TokenBucket& _bucket, const RateLimit& _limit, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/membership.h
+++ b/include/archdyke/membership.h
@@ -34,13 +34,13 @@
 
 	/// Applies the state in the VM list. If the list reports Live again, the incarnation that was
 	/// reported as leaving stays so.
-	void hearList(Member& _member, ListState _state);
+	void applyListState(Member& _member, ListState _state);
 
 	/// Applies a report of the agent.
-	void hearAgent(Member& _member, std::uint64_t _incarnation, bool _leaving);
+	void applyAgentState(Member& _member, std::uint64_t _incarnation, bool _leaving);
 
 	/// Applies the state of the link.
-	void hearLink(Member& _member, bool _up);
+	void applyLinkState(Member& _member, bool _up);
 
 	/// @returns Whether new requests may be sent there.
 	bool mayReceiveWork(const Member& _member);
--- a/include/archdyke/outage.h
+++ b/include/archdyke/outage.h
@@ -21,21 +21,21 @@
 	/// A caller of a service during an outage.
 	struct WaitingCaller
 	{
-		bool cameBack = false; ///< It was refused before, or its response broke off.
-		Millis patienceMs = 0; ///< Time until it gives up, as of its arrival.
+		bool isReturningCaller = false; ///< It was refused before, or its response broke off.
+		Millis patienceMs = 0;          ///< Time until it gives up, as of its arrival.
 		Millis waitedMs = 0;
 
 		bool operator==(const WaitingCaller&) const = default;
 	};
 
 	/// Records whether any group is serving.
-	void noteOutage(Outage& _outage, bool _serves, Millis _now);
+	void recordOutage(Outage& _outage, bool _serves, Millis _now);
 
 	/// @returns Whether a caller may keep waiting: it is a returning caller, a group is expected to open
 	/// soon, and enough time is left then before it gives up. Others get a retry delay.
-	bool mayAwaitOpening(const Outage& _outage, const WaitingCaller& _caller, Millis _now);
+	bool mayWaitForRecovery(const Outage& _outage, const WaitingCaller& _caller, Millis _now);
 
 	/// @returns Expected time until a group opens, ms; none if there is no outage or it has lasted too long for
 	/// an estimate. Callers that retry slightly early wait.
-	std::optional<Millis> expectedOpeningMs(const Outage& _outage, Millis _now);
+	std::optional<Millis> expectedRecoveryMs(const Outage& _outage, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/relay.h
+++ b/include/archdyke/relay.h
@@ -19,7 +19,7 @@
 	};
 
 	/// Metadata of a response frame.
-	struct FrameHead
+	struct FrameHeader
 	{
 		RunKey key;
 		std::uint64_t offset = 0;
@@ -28,7 +28,7 @@
 		std::uint64_t total = 0; ///< Size of the complete body; valid if end is set.
 		bool failed = false;     ///< The upstream broke off the response.
 
-		bool operator==(const FrameHead&) const = default;
+		bool operator==(const FrameHeader&) const = default;
 	};
 
 	enum class FrameAction
@@ -50,5 +50,5 @@
 	};
 
 	/// Decides how to handle a frame and updates the state.
-	FrameDecision acceptFrame(RelayState& _state, const FrameHead& _frame);
+	FrameDecision acceptFrame(RelayState& _state, const FrameHeader& _frame);
 } // namespace archdyke
--- a/include/archdyke/resend_share.h
+++ b/include/archdyke/resend_share.h
@@ -36,7 +36,7 @@
 	struct ResendShare
 	{
 		std::deque<GatewayCount> told; ///< Reports of the last windows, oldest first.
-		Millis firstToldAt = 0;        ///< First report since the process started; 0: none.
+		Millis firstReportAt = 0;      ///< First report since the process started; 0: none.
 		Millis steadySince = 0;        ///< Since when counts were reported without a gap and without growth; 0: no report yet.
 		double rounding = 0.0;         ///< Rounding offset added to the share, resends, below 1.
 		Millis roundingUntil = 0;      ///< When the offset is renewed.
@@ -44,15 +44,15 @@
 
 	/// Records a reported number of gateways.
 	/// @param[in] _windowMs Window in which resends are counted.
-	void noteGateways(ResendShare& _share, std::uint32_t _count, Millis _windowMs, Millis _now);
+	void recordGatewayCount(ResendShare& _share, std::uint32_t _count, Millis _windowMs, Millis _now);
 
 	/// Gateways that are assumed while no count is reported: more than in any deployment, five times
 	/// the planned number of daemons.
-	constexpr std::uint32_t kMostGateways = 2'048;
+	constexpr std::uint32_t kMaxGateways = 2'048;
 
 	/// @param[in] _steadyMs How long counts must have been reported without a gap and without growth.
 	/// @returns Maximum count reported in a window; none if the reports weren't stable for that long.
-	std::optional<std::uint32_t> gatewaysTold(const ResendShare& _share, Millis _windowMs, Millis _steadyMs, Millis _now);
+	std::optional<std::uint32_t> reportedGatewayCount(const ResendShare& _share, Millis _windowMs, Millis _steadyMs, Millis _now);
 
 	/// @returns Share of the allowance that this gateway may spend in a window, 0 to 1.
 	double allowanceShare(const ResendShare& _share, Millis _windowMs, Millis _now);
@@ -60,5 +60,5 @@
 	/// Renews the rounding offset when it is due, so that no gateway is left without resends for good. The
 	/// renewals are staggered: if many gateways renewed in one window, they could spend more in it than their
 	/// shares add up to.
-	void drawRounding(ResendShare& _share, Millis _windowMs, Random& _random, Millis _now);
+	void renewRounding(ResendShare& _share, Millis _windowMs, Random& _random, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/retry.h
+++ b/include/archdyke/retry.h
@@ -25,7 +25,7 @@
 	bool spendRetry(RetryBudget& _budget, Millis _now);
 
 	/// What is proved about the execution of an attempt that ended.
-	enum class Proof
+	enum class ExecutionProof
 	{
 		NotRun,  ///< The agent refused or revoked it, or its bytes were never sent.
 		Ran,     ///< It started.
@@ -34,16 +34,16 @@
 	};
 
 	/// An attempt that ended without a complete response.
-	struct FailedTry
+	struct FailedAttempt
 	{
-		Proof proof = Proof::Unknown;
+		ExecutionProof proof = ExecutionProof::Unknown;
 		RefusalReason refusal = RefusalReason::None;
 		std::uint32_t attempt = 0; ///< 0 for the first attempt.
 		bool repeatable = false;
 		bool delivered = false; ///< Bytes of the response were already sent to the caller.
 		Millis timeLeftMs = 0;  ///< Until the caller's deadline.
 
-		bool operator==(const FailedTry&) const = default;
+		bool operator==(const FailedAttempt&) const = default;
 	};
 
 	enum class NextStep
@@ -58,8 +58,8 @@
 
 	/// Decides the next step. Never retries a request that may have run and is not repeatable,
 	/// nor one of which response bytes were already sent to the caller.
-	NextStep decideNext(const FailedTry& _try);
+	NextStep decideNext(const FailedAttempt& _try);
 
 	/// @returns The final answer to the caller after an attempt that isn't retried.
-	NextStep finalAnswer(const FailedTry& _try);
+	NextStep finalAnswer(const FailedAttempt& _try);
 } // namespace archdyke
--- a/include/archdyke/route.h
+++ b/include/archdyke/route.h
@@ -15,25 +15,25 @@
 namespace archdyke
 {
 	/// An agent as seen by an entry.
-	struct Candidate
+	struct AgentCandidate
 	{
 		std::uint64_t id = 0; ///< Stable hash of the upstream's name.
 		bool usable = false;  ///< Accepts requests; see mayReceiveWork.
 		bool ownZone = false;
-		double distanceMs = 0.0;     ///< One-way latency from the entry's zone, ms.
-		std::uint32_t slots = 1;     ///< Runs that it can execute at once.
-		std::uint32_t reported = 0;  ///< Running and queued runs in the last load report.
-		std::uint32_t sentSince = 0; ///< Runs sent since that report.
+		double distanceMs = 0.0;           ///< One-way latency from the entry's zone, ms.
+		std::uint32_t slots = 1;           ///< Runs that it can execute at once.
+		std::uint32_t reported = 0;        ///< Running and queued runs in the last load report.
+		std::uint32_t sentSinceReport = 0; ///< Runs sent since that report.
 		double meanRunMs = 0.0;
 
-		bool operator==(const Candidate&) const = default;
+		bool operator==(const AgentCandidate&) const = default;
 	};
 
 	/// @returns Runs per slot, including the one to be placed.
-	double loadOf(const Candidate& _candidate);
+	double loadOf(const AgentCandidate& _candidate);
 
 	/// @returns Expected wait for a slot, ms.
-	double waitMsOf(const Candidate& _candidate);
+	double expectedWaitMs(const AgentCandidate& _candidate);
 
 	/// Chooses the agent that runs a request.
 	///
@@ -42,12 +42,12 @@
 	/// @remarks Power of two choices: M. Mitzenmacher, "The Power of Two Choices in
 	/// Randomized Load Balancing", IEEE TPDS 12(10), 2001.
 	///
-	std::optional<std::size_t> chooseAgent(const std::vector<Candidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random);
+	std::optional<std::size_t> chooseAgent(const std::vector<AgentCandidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random);
 
 	/// Baseline policies, for comparison in tests and benchmarks.
-	std::optional<std::size_t> chooseAtRandom(const std::vector<Candidate>& _candidates, Random& _random);
-	std::optional<std::size_t> chooseRoundRobin(const std::vector<Candidate>& _candidates, std::uint64_t& _next);
-	std::optional<std::size_t> chooseLeastReported(const std::vector<Candidate>& _candidates);
+	std::optional<std::size_t> chooseAtRandom(const std::vector<AgentCandidate>& _candidates, Random& _random);
+	std::optional<std::size_t> chooseRoundRobin(const std::vector<AgentCandidate>& _candidates, std::uint64_t& _next);
+	std::optional<std::size_t> chooseLeastReported(const std::vector<AgentCandidate>& _candidates);
 
 	/// Chooses the agents of a zone that an entry connects to. Each agent is assigned to
 	/// _coverage entries, provided that all entries see the same list of entries.
--- a/include/archdyke/text_difference.h
+++ b/include/archdyke/text_difference.h
@@ -12,7 +12,7 @@
 namespace archdyke
 {
 	/// @returns The delta that turns _base into _target. It may be longer than _target if they have little in common.
-	std::string differenceBetween(std::string_view _base, std::string_view _target);
+	std::string makeTextDifference(std::string_view _base, std::string_view _target);
 
 	/// @returns The target text; none if the delta is malformed or belongs to another base.
 	std::optional<std::string> applyTextDifference(std::string_view _base, std::string_view _difference);
--- a/include/archdyke/upstream_choice.h
+++ b/include/archdyke/upstream_choice.h
@@ -57,14 +57,14 @@
 	struct UpstreamHealth
 	{
 		double failureRate = 0.0; ///< Moving average of failed responses, 0 to 1.
-		std::uint32_t failuresInARow = 0;
+		std::uint32_t consecutiveFailures = 0;
 		Millis suspendedUntil = 0;
 
 		bool operator==(const UpstreamHealth&) const = default;
 	};
 
 	/// Records the result of an attempt at the upstream.
-	void noteTry(UpstreamHealth& _health, bool _failed, Millis _now);
+	void recordAttempt(UpstreamHealth& _health, bool _failed, Millis _now);
 
 	/// @returns Whether the upstream is suspended: it gets a request only if no healthy one is left.
 	bool isSuspended(const UpstreamHealth& _health, Millis _now);
--- a/src/agent/agent_runs.cpp
+++ b/src/agent/agent_runs.cpp
@@ -53,7 +53,7 @@
 		{
 			return kUpstreamDownRetryMs;
 		}
-		const Millis left = backOffLeftMs(this->backOff, _now);
+		const Millis left = remainingBackOffMs(this->backOff, _now);
 		return 0 < left ? std::optional(left) : std::nullopt;
 	}
 
@@ -72,7 +72,7 @@
 		{
 			return {false, reason, 0};
 		}
-		const AdmitResult result = admitRun(this->admission, {_run.key, _run.organisation, _run.weight, now + _run.budgetMs, now}, now);
+		const AdmissionResult result = admitRun(this->admission, {_run.key, _run.organisation, _run.weight, now + _run.budgetMs, now}, now);
 		if (RefusalReason::None != result.refusal)
 		{
 			dropRun(this->ledger, _run.key, now);
@@ -162,7 +162,7 @@
 	{
 		absl::MutexLock lock(&this->mutex);
 		const Millis now = nowMs();
-		forgetRuns(this->ledger, now);
+		removeExpiredRuns(this->ledger, now);
 		absl::erase_if(this->runs, [&](const auto& _run) {
 			return 0 != _run.second.endedAt && kAnswerKeepMs < now - _run.second.endedAt;
 		});
@@ -219,7 +219,7 @@
 		{
 			return std::nullopt;
 		}
-		const Millis backOffMs = backOffLeftMs(this->backOff, now);
+		const Millis backOffMs = remainingBackOffMs(this->backOff, now);
 		if (0 < backOffMs)
 		{
 			// The entry tries another agent: here its caller would get the upstream's refusal as an answer.
@@ -281,7 +281,7 @@
 		}
 		const Millis askedMs = _run.answer->backOffMs;
 		absl::MutexLock lock(&this->mutex);
-		if (0 < askedMs && noteBackOff(this->backOff, askedMs, now))
+		if (0 < askedMs && recordBackOff(this->backOff, askedMs, now))
 		{
 			logInfo("upstream_asks_back_off", {{"asked_ms", askedMs}, {"queued", this->admission.queued}});
 		}
--- a/src/agent/agent_runs.h
+++ b/src/agent/agent_runs.h
@@ -102,7 +102,7 @@
 
 		absl::Mutex mutex;
 		Ledger ledger ABSL_GUARDED_BY(mutex);
-		Admission admission ABSL_GUARDED_BY(mutex);
+		AdmissionQueue admission ABSL_GUARDED_BY(mutex);
 		absl::flat_hash_map<RunKey, ActiveRun> runs ABSL_GUARDED_BY(mutex);
 		bool upstreamUp ABSL_GUARDED_BY(mutex) = true;
 		BackOff backOff ABSL_GUARDED_BY(mutex);
--- a/src/agent/upstream_call.cpp
+++ b/src/agent/upstream_call.cpp
@@ -36,7 +36,7 @@
 		Millis backOffOf(const httplib::Response& _response)
 		{
 			constexpr int kUnavailable = 503;
-			return kUnavailable == _response.status ? parseBackOff(_response.get_header_value("Retry-After")).value_or(0) : 0;
+			return kUnavailable == _response.status ? parseRetryAfter(_response.get_header_value("Retry-After")).value_or(0) : 0;
 		}
 
 		void readAnswer(httplib::Request& _request, AnswerBuffer& _answer, const std::function<void(const RunKey&)>& _onBytes)
--- a/src/decide/acceptance.cpp
+++ b/src/decide/acceptance.cpp
@@ -23,7 +23,7 @@
 		return true;
 	}
 
-	bool holdStaged(HeldConfig& _held, const ConfigMark& _staged)
+	bool recordStaged(HeldConfig& _held, const ConfigMark& _staged)
 	{
 		if (_staged.version <= _held.head.version || _held.staged == _staged)
 		{
@@ -33,20 +33,20 @@
 		return true;
 	}
 
-	bool zoneHolds(const HeldConfig& _held, const std::vector<PeerHolding>& _zonePeers, const ConfigMark& _staged)
+	bool mayConfirmStaged(const HeldConfig& _held, const std::vector<PeerConfig>& _zonePeers, const ConfigMark& _staged)
 	{
 		if (_held.staged != _staged)
 		{
 			return false;
 		}
-		return std::all_of(_zonePeers.begin(), _zonePeers.end(), [&](const PeerHolding& _peer) {
+		return std::all_of(_zonePeers.begin(), _zonePeers.end(), [&](const PeerConfig& _peer) {
 			return _peer.staged == _staged || _peer.head.version >= _staged.version;
 		});
 	}
 
-	AcceptanceView viewAcceptance(const StageRow& _stage, const std::vector<std::string>& _zonesWithEntries, const std::vector<ZoneConfirmation>& _confirmations)
+	AcceptanceStatus checkAcceptance(const StageRow& _stage, const std::vector<std::string>& _zonesWithEntries, const std::vector<ZoneConfirmation>& _confirmations)
 	{
-		AcceptanceView view;
+		AcceptanceStatus view;
 		for (const std::string& zone : _zonesWithEntries)
 		{
 			const bool confirmed = std::any_of(_confirmations.begin(), _confirmations.end(), [&](const ZoneConfirmation& _confirmation) {
@@ -60,7 +60,7 @@
 		return view;
 	}
 
-	std::optional<ApplyEnd> settleMove(const StageRow& _stage, const std::optional<std::string>& _accepted)
+	std::optional<ApplyEnd> resolveHeadUpdate(const StageRow& _stage, const std::optional<std::string>& _accepted)
 	{
 		if (!_accepted)
 		{
--- a/src/decide/admission.cpp
+++ b/src/decide/admission.cpp
@@ -19,7 +19,7 @@
 			return _queue.runs.empty() ? 0.0 : double(_queue.runs.size()) / double(_queue.runs.back().weight);
 		}
 
-		double totalWeight(const Admission& _admission)
+		double totalWeight(const AdmissionQueue& _admission)
 		{
 			double weight = 0.0;
 			for (const auto& [name, queue] : _admission.organisations)
@@ -29,13 +29,13 @@
 			return weight;
 		}
 
-		double runsPerMs(const Admission& _admission)
+		double runsPerMs(const AdmissionQueue& _admission)
 		{
 			return double(_admission.slots) / std::max(1.0, _admission.meanRunMs);
 		}
 
 		/// @returns Time until the queue has drained to half, when it surely accepts a new run, ms.
-		Millis halfDrainMs(const Admission& _admission)
+		Millis halfDrainMs(const AdmissionQueue& _admission)
 		{
 			const double runs = double(_admission.queued) / 2.0 + 1.0;
 			return std::max(kMinRetryAfterMs, Millis(std::ceil(runs / runsPerMs(_admission))));
@@ -43,7 +43,7 @@
 
 		/// Reserves the next retry time of an organisation for a refused caller.
 		/// @returns Its retry delay, ms.
-		Millis reserveRetryAfterMs(Admission& _admission, const std::string& _organisation, std::uint32_t _weight, Millis _now)
+		Millis reserveRetryAfterMs(AdmissionQueue& _admission, const std::string& _organisation, std::uint32_t _weight, Millis _now)
 		{
 			const bool hasQueuedRuns = _admission.organisations.contains(_organisation) && !_admission.organisations[_organisation].runs.empty();
 			const double share = double(_weight) / (totalWeight(_admission) + (hasQueuedRuns ? 0.0 : double(_weight)));
@@ -60,12 +60,12 @@
 			return result;
 		}
 
-		AdmitResult refuse(Admission& _admission, const QueuedRun& _run, RefusalReason _reason, Millis _now)
+		AdmissionResult refuse(AdmissionQueue& _admission, const QueuedRun& _run, RefusalReason _reason, Millis _now)
 		{
 			return {_reason, reserveRetryAfterMs(_admission, _run.organisation, _run.weight, _now), std::nullopt};
 		}
 
-		void removeIfIdle(Admission& _admission, const std::string& _organisation)
+		void removeIfIdle(AdmissionQueue& _admission, const std::string& _organisation)
 		{
 			const auto it = _admission.organisations.find(_organisation);
 			if (_admission.organisations.end() != it && it->second.runs.empty() && it->second.finishTag <= _admission.virtualTime)
@@ -74,7 +74,7 @@
 			}
 		}
 
-		std::string largestOrganisation(const Admission& _admission)
+		std::string largestOrganisation(const AdmissionQueue& _admission)
 		{
 			const auto it = std::max_element(_admission.organisations.begin(), _admission.organisations.end(), [](const auto& _a, const auto& _b) {
 				return queuedPerWeight(_a.second) < queuedPerWeight(_b.second);
@@ -83,7 +83,7 @@
 		}
 
 		/// Removes the runs that can't finish by their deadline.
-		std::vector<RunKey> removeExpired(Admission& _admission, Millis _now)
+		std::vector<RunKey> removeExpired(AdmissionQueue& _admission, Millis _now)
 		{
 			std::vector<RunKey> expired;
 			for (auto& [name, queue] : _admission.organisations)
@@ -101,7 +101,7 @@
 		}
 	} // namespace
 
-	Millis estimateWaitMs(const Admission& _admission, const std::string& _organisation, std::uint32_t _weight)
+	Millis estimateWaitMs(const AdmissionQueue& _admission, const std::string& _organisation, std::uint32_t _weight)
 	{
 		if (_admission.running < _admission.slots && 0 == _admission.queued)
 		{
@@ -115,13 +115,13 @@
 		return Millis(ahead / runsPerMs(_admission));
 	}
 
-	AdmitResult admitRun(Admission& _admission, const QueuedRun& _run, Millis _now)
+	AdmissionResult admitRun(AdmissionQueue& _admission, const QueuedRun& _run, Millis _now)
 	{
 		if (_now + estimateWaitMs(_admission, _run.organisation, _run.weight) + Millis(_admission.meanRunMs) > _run.deadline)
 		{
 			return refuse(_admission, _run, RefusalReason::Deadline, _now);
 		}
-		AdmitResult result;
+		AdmissionResult result;
 		if (_admission.capacity <= _admission.queued)
 		{
 			const std::string largestName = largestOrganisation(_admission);
@@ -143,7 +143,7 @@
 		return result;
 	}
 
-	TakeResult takeRun(Admission& _admission, Millis _now)
+	TakeResult takeRun(AdmissionQueue& _admission, Millis _now)
 	{
 		TakeResult result;
 		result.expired = removeExpired(_admission, _now);
@@ -172,7 +172,7 @@
 		return result;
 	}
 
-	void removeRun(Admission& _admission, const RunKey& _key)
+	void removeRun(AdmissionQueue& _admission, const RunKey& _key)
 	{
 		for (auto& [name, queue] : _admission.organisations)
 		{
@@ -182,7 +182,7 @@
 		}
 	}
 
-	void endRun(Admission& _admission, Millis _runMs)
+	void endRun(AdmissionQueue& _admission, Millis _runMs)
 	{
 		_admission.running -= 1;
 		_admission.meanRunMs += kMeanRunGain * (double(_runMs) - _admission.meanRunMs);
--- a/src/decide/back_off.cpp
+++ b/src/decide/back_off.cpp
@@ -17,7 +17,7 @@
 		constexpr Millis kMaxBackOffMs = 600'000;
 	} // namespace
 
-	std::optional<Millis> parseBackOff(std::string_view _seconds)
+	std::optional<Millis> parseRetryAfter(std::string_view _seconds)
 	{
 		double seconds = 0.0;
 		if (!absl::SimpleAtod(asAbsl(_seconds), &seconds) || !(0.0 <= seconds))
@@ -27,14 +27,14 @@
 		return Millis(std::ceil(std::min(seconds, kMaxParsedSeconds) * 1'000.0));
 	}
 
-	bool noteBackOff(BackOff& _backOff, Millis _askedMs, Millis _now)
+	bool recordBackOff(BackOff& _backOff, Millis _askedMs, Millis _now)
 	{
 		const bool isNew = _backOff.until <= _now;
 		_backOff.until = std::max(_backOff.until, _now + std::clamp<Millis>(_askedMs, 0, kMaxBackOffMs));
 		return isNew;
 	}
 
-	Millis backOffLeftMs(const BackOff& _backOff, Millis _now)
+	Millis remainingBackOffMs(const BackOff& _backOff, Millis _now)
 	{
 		return std::max<Millis>(0, _backOff.until - _now);
 	}
--- a/src/decide/batch_admission.cpp
+++ b/src/decide/batch_admission.cpp
@@ -19,7 +19,7 @@
 		constexpr double kWaitShare = 0.12;
 	} // namespace
 
-	double batchLimit(const EngineModel& _model, const BatchView& _view, Millis _gapObjectiveMs)
+	double batchLimit(const EngineModel& _model, const BatchLoad& _view, Millis _gapObjectiveMs)
 	{
 		const double slots = double(_model.slots) + kQueueBeyondBatch;
 		const double modelledPassMs = double(_model.stride) * (_model.stepMs + _model.perSequenceMs * _view.meanLoad);
@@ -34,13 +34,13 @@
 		return std::clamp(fittingRequests, kMinLimit, slots);
 	}
 
-	bool mayEnter(const EngineModel& _model, const BatchView& _view, const BatchRequest& _request)
+	bool mayAdmit(const EngineModel& _model, const BatchLoad& _view, const BatchRequest& _request)
 	{
 		const double limit = batchLimit(_model, _view, _request.gapObjectiveMs);
-		return _view.meanLoad + 1.0 <= limit + (_request.cameBack ? kMoreForReturning : 0.0);
+		return _view.meanLoad + 1.0 <= limit + (_request.isReturningCaller ? kMoreForReturning : 0.0);
 	}
 
-	Millis longestWait(Millis _objectiveMs)
+	Millis maxCapacityWaitMs(Millis _objectiveMs)
 	{
 		return Millis(kWaitShare * double(_objectiveMs));
 	}
--- a/src/decide/claim.cpp
+++ b/src/decide/claim.cpp
@@ -33,7 +33,7 @@
 		return {ClaimState::Claimed, ""};
 	}
 
-	ClaimVerdict readClaim(const std::optional<ClaimRow>& _row, std::string_view _nonce)
+	ClaimVerdict evaluateClaim(const std::optional<ClaimRow>& _row, std::string_view _nonce)
 	{
 		if (!_row)
 		{
--- a/src/decide/cold_share.cpp
+++ b/src/decide/cold_share.cpp
@@ -63,39 +63,39 @@
 		}
 	} // namespace
 
-	std::uint32_t gatewaysAssumed(const ResendShare& _told, std::size_t _upstreams, Millis _windowMs, Millis _now)
+	std::uint32_t estimateGatewayCount(const ResendShare& _told, std::size_t _upstreams, Millis _windowMs, Millis _now)
 	{
-		const std::optional<std::uint32_t> steady = gatewaysTold(_told, _windowMs, kMinSteadyMs, _now);
+		const std::optional<std::uint32_t> steady = reportedGatewayCount(_told, _windowMs, kMinSteadyMs, _now);
 		if (steady)
 		{
 			return *steady;
 		}
-		const std::uint32_t estimated = std::clamp(kGatewaysPerUpstream * std::uint32_t(_upstreams), kMinGateways, kMostGateways);
-		return std::max(estimated, gatewaysTold(_told, _windowMs, 0, _now).value_or(0));
+		const std::uint32_t estimated = std::clamp(kGatewaysPerUpstream * std::uint32_t(_upstreams), kMinGateways, kMaxGateways);
+		return std::max(estimated, reportedGatewayCount(_told, _windowMs, 0, _now).value_or(0));
 	}
 
-	ColdShare coldShareOf(const ColdTerms& _terms)
+	ColdShare computeColdShare(const ColdCapacity& _terms)
 	{
 		const double count = std::max<double>(1.0, _terms.gateways);
-		const double peak = std::floor(_terms.mostPerS);
-		const double wanted = std::min(peak, _terms.bornePerS * double(kWindowMs) / 1'000.0) / count;
+		const double peak = std::floor(_terms.peakPerS);
+		const double wanted = std::min(peak, _terms.sustainedPerS * double(kWindowMs) / 1'000.0) / count;
 		const double fixedSends = std::floor(wanted);
 		return {std::uint32_t(fixedSends), limitProbability(count, wanted - fixedSends, peak - count * fixedSends)};
 	}
 
-	std::uint32_t sendsInWindow(const ColdShare& _share, std::string_view _gateway, std::string_view _incarnation)
+	std::uint32_t coldSendsPerWindow(const ColdShare& _share, std::string_view _gateway, std::string_view _incarnation)
 	{
 		const std::uint64_t hash = stableHash(_incarnation, stableHash(_gateway));
 		const double uniform = std::ldexp(double(hash), -64);
-		return _share.sends + (uniform < _share.chanceOfMore ? 1 : 0);
+		return _share.sends + (uniform < _share.extraSendProbability ? 1 : 0);
 	}
 
-	void noteCold(ColdState& _state, Millis _forMs, Millis _now)
+	void recordCold(ColdState& _state, Millis _forMs, Millis _now)
 	{
 		_state.until = std::max(_state.until, _now + _forMs);
 	}
 
-	Millis warmInMs(const ColdState& _state, Millis _now)
+	Millis remainingColdMs(const ColdState& _state, Millis _now)
 	{
 		return std::max<Millis>(0, _state.until - _now);
 	}
@@ -108,7 +108,7 @@
 		return recent < std::ptrdiff_t(_sends);
 	}
 
-	void noteColdSend(ColdState& _state, Millis _now)
+	void recordColdSend(ColdState& _state, Millis _now)
 	{
 		while (!_state.sends.empty() && _now - _state.sends.front() >= kWindowMs)
 		{
--- a/src/decide/come_back.cpp
+++ b/src/decide/come_back.cpp
@@ -68,7 +68,7 @@
 		}
 	}
 
-	Millis comeBackAfter(RefusalCause _cause, std::optional<Millis> _reopenMs, Millis _patienceMs, Random& _random)
+	Millis chooseRetryDelayMs(RefusalCause _cause, std::optional<Millis> _reopenMs, Millis _patienceMs, Random& _random)
 	{
 		if (RefusalCause::CrashesUpstreams == _cause && _reopenMs)
 		{
--- a/src/decide/crash_blame.cpp
+++ b/src/decide/crash_blame.cpp
@@ -9,16 +9,16 @@
 	{
 		bool isCurrent(Millis _at, Millis _now)
 		{
-			return _now < _at + kBlameMs;
+			return _now < _at + kCrashLifetimeMs;
 		}
 	} // namespace
 
-	bool noteCrash(CrashTable& _table, const Crash& _crash, Millis _at)
+	bool recordCrash(CrashTable& _table, const Crash& _crash, Millis _at)
 	{
 		return _table.byRequest[_crash.request].emplace(_crash.incarnation, _at).second;
 	}
 
-	void dropCrash(CrashTable& _table, const Crash& _crash)
+	void removeCrash(CrashTable& _table, const Crash& _crash)
 	{
 		const auto found = _table.byRequest.find(_crash.request);
 		if (_table.byRequest.end() == found)
@@ -54,7 +54,7 @@
 		return cleared;
 	}
 
-	std::size_t crashesOf(const CrashTable& _table, const std::string& _request, Millis _now)
+	std::size_t countCrashes(const CrashTable& _table, const std::string& _request, Millis _now)
 	{
 		const auto found = _table.byRequest.find(_request);
 		if (_table.byRequest.end() == found)
@@ -66,7 +66,7 @@
 		}));
 	}
 
-	std::optional<Millis> refusedForMs(const CrashTable& _table, const std::string& _request, Millis _now)
+	std::optional<Millis> remainingRefusalMs(const CrashTable& _table, const std::string& _request, Millis _now)
 	{
 		const auto found = _table.byRequest.find(_request);
 		if (_table.byRequest.end() == found || found->second.size() < kCrashesToRefuse)
@@ -81,11 +81,11 @@
 		// The kCrashesToRefuse newest crashes decide: the request may run again once one of them expires.
 		const auto oldestDeciding = times.begin() + (kCrashesToRefuse - 1);
 		std::nth_element(times.begin(), oldestDeciding, times.end(), std::greater<>());
-		const Millis remainingMs = *oldestDeciding + kBlameMs - _now;
+		const Millis remainingMs = *oldestDeciding + kCrashLifetimeMs - _now;
 		return 0 < remainingMs ? std::optional(remainingMs) : std::nullopt;
 	}
 
-	std::vector<Crash> forgetCrashes(CrashTable& _table, Millis _now)
+	std::vector<Crash> removeExpiredCrashes(CrashTable& _table, Millis _now)
 	{
 		std::vector<Crash> forgotten;
 		for (const auto& [request, crashes] : _table.byRequest)
@@ -100,12 +100,12 @@
 		}
 		for (const Crash& crash : forgotten)
 		{
-			dropCrash(_table, crash);
+			removeCrash(_table, crash);
 		}
 		return forgotten;
 	}
 
-	void noteRun(RecentRuns& _runs, std::size_t _request, Millis _now)
+	void recordCompletion(RecentCompletions& _runs, std::size_t _request, Millis _now)
 	{
 		if (kGenerationMs <= _now - _runs.newerSince)
 		{
@@ -114,13 +114,13 @@
 			_runs.newer.clear();
 			_runs.newerSince = _now;
 		}
-		if (_runs.newer.size() < kMostRuns)
+		if (_runs.newer.size() < kMaxRunsPerGeneration)
 		{
 			_runs.newer.insert(_request);
 		}
 	}
 
-	bool ranLately(const RecentRuns& _runs, std::size_t _request, Millis _now)
+	bool completedRecently(const RecentCompletions& _runs, std::size_t _request, Millis _now)
 	{
 		const Millis age = _now - _runs.newerSince;
 		return (age < 2 * kGenerationMs && _runs.newer.contains(_request)) || (age < kGenerationMs && _runs.older.contains(_request));
--- a/src/decide/evacuation.cpp
+++ b/src/decide/evacuation.cpp
@@ -42,7 +42,7 @@
 		}
 	} // namespace
 
-	std::vector<ZoneChange> takeEvacuations(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, bool _whole)
+	std::vector<ZoneChange> applyEvacuationRows(OperatorTable& _table, const std::vector<EvacuationRow>& _rows, std::uint64_t _version, bool _whole)
 	{
 		std::vector<ZoneChange> changes;
 		for (const EvacuationRow& row : _rows)
@@ -53,13 +53,13 @@
 		{
 			endUnnamedEvacuations(_table, _rows, _version, changes);
 		}
-		_table.knownUpTo = std::max(_table.knownUpTo, _version);
+		_table.knownVersion = std::max(_table.knownVersion, _version);
 		return changes;
 	}
 
-	bool isBehind(const OperatorTable& _table, std::uint64_t _changedAt)
+	bool isMissingChange(const OperatorTable& _table, std::uint64_t _changedAt)
 	{
-		return _table.knownUpTo < _changedAt;
+		return _table.knownVersion < _changedAt;
 	}
 
 	bool isEvacuated(const OperatorTable& _table, const std::string& _zone)
--- a/src/decide/event_stream.cpp
+++ b/src/decide/event_stream.cpp
@@ -48,7 +48,7 @@
 		return events;
 	}
 
-	EventVerdict judgeEvent(const StreamEvent& _event, std::optional<std::uint64_t> _delivered)
+	EventVerdict classifyEvent(const StreamEvent& _event, std::optional<std::uint64_t> _delivered)
 	{
 		if (!_event.id || !_delivered || *_event.id == *_delivered + 1)
 		{
--- a/src/decide/freshness.cpp
+++ b/src/decide/freshness.cpp
@@ -4,31 +4,31 @@
 
 namespace archdyke
 {
-	void noteClock(Freshness& _freshness, Millis _sentAt, Millis _storeTime)
+	void recordStoreClock(Freshness& _freshness, Millis _sentAt, Millis _storeTime)
 	{
 		const Millis minOffset = _sentAt - _storeTime;
 		_freshness.offset = std::max(_freshness.offset.value_or(minOffset), minOffset);
 	}
 
-	void noteProof(Freshness& _freshness, Millis _sentAt, std::optional<Millis> _storeTime)
+	void recordProof(Freshness& _freshness, Millis _sentAt, std::optional<Millis> _storeTime)
 	{
 		Millis madeAt = _sentAt;
 		if (_storeTime)
 		{
-			noteClock(_freshness, _sentAt, *_storeTime);
+			recordStoreClock(_freshness, _sentAt, *_storeTime);
 			madeAt = *_storeTime + *_freshness.offset;
 		}
 		_freshness.provenAt = std::max(_freshness.provenAt.value_or(madeAt), madeAt);
 	}
 
-	std::optional<Millis> ownTimeOf(const Freshness& _freshness, Millis _storeTime)
+	std::optional<Millis> toLocalTime(const Freshness& _freshness, Millis _storeTime)
 	{
 		return _freshness.offset ? std::optional(_storeTime + *_freshness.offset) : std::nullopt;
 	}
 
-	void noteToldProof(Freshness& _freshness, Millis _storeTime)
+	void recordRelayedProof(Freshness& _freshness, Millis _storeTime)
 	{
-		const std::optional<Millis> madeAt = ownTimeOf(_freshness, _storeTime);
+		const std::optional<Millis> madeAt = toLocalTime(_freshness, _storeTime);
 		if (madeAt)
 		{
 			_freshness.provenAt = std::max(_freshness.provenAt.value_or(*madeAt), *madeAt);
--- a/src/decide/group_choice.cpp
+++ b/src/decide/group_choice.cpp
@@ -17,14 +17,14 @@
 
 		bool isUsable(const GroupCandidate& _candidate)
 		{
-			return _candidate.hasRoom && GroupStanding::Down != _candidate.standing;
+			return _candidate.hasCapacity && GroupStatus::Down != _candidate.standing;
 		}
 
 		/// Lower is better: groups that didn't fail the request come first, then groups in time.
 		/// Late and unknown groups are equivalent, since neither is known to be better.
 		std::tuple<bool, bool> tierOf(const GroupCandidate& _candidate)
 		{
-			return {_candidate.failedRequest, GroupStanding::InTime != _candidate.standing};
+			return {_candidate.failedRequest, GroupStatus::InTime != _candidate.standing};
 		}
 
 		std::vector<std::size_t> bestTier(const std::vector<GroupCandidate>& _candidates)
@@ -52,7 +52,7 @@
 		std::size_t leastUtilized(const std::vector<GroupCandidate>& _candidates, const std::vector<std::size_t>& _among)
 		{
 			return *std::min_element(_among.begin(), _among.end(), [&](std::size_t _a, std::size_t _b) {
-				return _candidates[_a].fullness < _candidates[_b].fullness;
+				return _candidates[_a].utilization < _candidates[_b].utilization;
 			});
 		}
 
@@ -82,15 +82,15 @@
 		}
 	} // namespace
 
-	std::string_view toString(GroupStanding _standing)
+	std::string_view toString(GroupStatus _standing)
 	{
 		switch (_standing)
 		{
-		case GroupStanding::InTime:
+		case GroupStatus::InTime:
 			return "in_time";
-		case GroupStanding::Late:
+		case GroupStatus::Late:
 			return "late";
-		case GroupStanding::Unknown:
+		case GroupStatus::Unknown:
 			return "unknown";
 		default:
 			return "down";
@@ -104,11 +104,11 @@
 		{
 			return std::nullopt;
 		}
-		const double maxLocalFullness = _candidates[leastUtilized(_candidates, best)].fullness + kZoneAdvantage;
+		const double maxLocalFullness = _candidates[leastUtilized(_candidates, best)].utilization + kZoneAdvantage;
 		std::vector<std::size_t> local;
 		for (const std::size_t index : best)
 		{
-			if (0.0 < _candidates[index].ownZoneShare && _candidates[index].fullness <= maxLocalFullness)
+			if (0.0 < _candidates[index].ownZoneShare && _candidates[index].utilization <= maxLocalFullness)
 			{
 				local.push_back(index);
 			}
@@ -116,7 +116,7 @@
 		return pickByFreeCapacity(_candidates, local.empty() ? best : local, _random);
 	}
 
-	std::optional<std::size_t> chooseEmptiestGroup(const std::vector<GroupCandidate>& _candidates)
+	std::optional<std::size_t> chooseLeastUtilizedGroup(const std::vector<GroupCandidate>& _candidates)
 	{
 		const std::vector<std::size_t> best = bestTier(_candidates);
 		return best.empty() ? std::nullopt : std::optional(leastUtilized(_candidates, best));
--- a/src/decide/lease.cpp
+++ b/src/decide/lease.cpp
@@ -27,7 +27,7 @@
 		{
 			return {true, {_view.self, _row->fence, _row->renewal + 1}};
 		}
-		_view.actUntil = 0;
+		_view.mayActUntil = 0;
 		const bool free = 0 == _row->holder;
 		const bool expired = kLeaseMs <= _now - _view.seenSince;
 		if (free || expired)
@@ -37,15 +37,15 @@
 		return {};
 	}
 
-	void leaseWritten(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now)
+	void recordLeaseWrite(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now)
 	{
 		updateSeen(_view, _row, _now);
-		_view.actUntil = _view.self == _row.holder ? _begunAt + kLeaseActMs : 0;
+		_view.mayActUntil = _view.self == _row.holder ? _begunAt + kLeaseActMs : 0;
 	}
 
 	std::optional<std::uint64_t> actingFence(const LeaseView& _view, Millis _now)
 	{
-		if (!_view.seen || _view.self != _view.seen->holder || _view.actUntil <= _now)
+		if (!_view.seen || _view.self != _view.seen->holder || _view.mayActUntil <= _now)
 		{
 			return std::nullopt;
 		}
--- a/src/decide/ledger.cpp
+++ b/src/decide/ledger.cpp
@@ -170,7 +170,7 @@
 		return RunState::Revoked == record->state ? RevokeState::NotRun : RevokeState::Started;
 	}
 
-	void forgetRuns(Ledger& _ledger, Millis _now)
+	void removeExpiredRuns(Ledger& _ledger, Millis _now)
 	{
 		while (!_ledger.ended.empty() && kLedgerKeepMs < _now - _ledger.ended.front().endedAt)
 		{
--- a/src/decide/limits.cpp
+++ b/src/decide/limits.cpp
@@ -10,13 +10,13 @@
 		constexpr double kMsPerSecond = 1000.0;
 	}
 
-	RateLimit shareOf(const RateLimit& _limit, std::uint32_t _entries)
+	RateLimit rateLimitPerEntry(const RateLimit& _limit, std::uint32_t _entries)
 	{
 		const double entries = double(std::max(1u, _entries));
 		return {_limit.perSecond / entries, std::max(1.0, _limit.burst / entries)};
 	}
 
-	std::optional<Millis> takeToken(Bucket& _bucket, const RateLimit& _limit, Millis _now)
+	std::optional<Millis> takeToken(TokenBucket& _bucket, const RateLimit& _limit, Millis _now)
 	{
 		if (!_bucket.used)
 		{
--- a/src/decide/membership.cpp
+++ b/src/decide/membership.cpp
@@ -15,7 +15,7 @@
 		}
 	}
 
-	void hearList(Member& _member, ListState _state)
+	void applyListState(Member& _member, ListState _state)
 	{
 		_member.list = _state;
 		if (ListState::Live != _state)
@@ -24,7 +24,7 @@
 		}
 	}
 
-	void hearAgent(Member& _member, std::uint64_t _incarnation, bool _leaving)
+	void applyAgentState(Member& _member, std::uint64_t _incarnation, bool _leaving)
 	{
 		_member.incarnation = _incarnation;
 		if (_leaving)
@@ -33,7 +33,7 @@
 		}
 	}
 
-	void hearLink(Member& _member, bool _up)
+	void applyLinkState(Member& _member, bool _up)
 	{
 		_member.linkUp = _up;
 	}
--- a/src/decide/outage.cpp
+++ b/src/decide/outage.cpp
@@ -19,7 +19,7 @@
 		constexpr Millis kMaxUnseenMs = 1'000;
 	} // namespace
 
-	void noteOutage(Outage& _outage, bool _serves, Millis _now)
+	void recordOutage(Outage& _outage, bool _serves, Millis _now)
 	{
 		if (_serves)
 		{
@@ -30,13 +30,13 @@
 		_outage = {isNew ? _now : _outage.since, _now};
 	}
 
-	bool mayAwaitOpening(const Outage& _outage, const WaitingCaller& _caller, Millis _now)
+	bool mayWaitForRecovery(const Outage& _outage, const WaitingCaller& _caller, Millis _now)
 	{
 		const bool isUsual = _now - _outage.since < kMaxUsualOutageMs;
-		return _caller.cameBack && isUsual && _caller.waitedMs < _caller.patienceMs / kPatienceDivisor;
+		return _caller.isReturningCaller && isUsual && _caller.waitedMs < _caller.patienceMs / kPatienceDivisor;
 	}
 
-	std::optional<Millis> expectedOpeningMs(const Outage& _outage, Millis _now)
+	std::optional<Millis> expectedRecoveryMs(const Outage& _outage, Millis _now)
 	{
 		const Millis age = _now - _outage.since;
 		const bool known = 0 != _outage.since && _now - _outage.seenAt <= kMaxUnseenMs;
--- a/src/decide/relay.cpp
+++ b/src/decide/relay.cpp
@@ -2,7 +2,7 @@
 
 namespace archdyke
 {
-	FrameDecision acceptFrame(RelayState& _state, const FrameHead& _frame)
+	FrameDecision acceptFrame(RelayState& _state, const FrameHeader& _frame)
 	{
 		if (_state.complete || _frame.key != _state.key)
 		{
--- a/src/decide/resend_share.cpp
+++ b/src/decide/resend_share.cpp
@@ -35,11 +35,11 @@
 		}
 	} // namespace
 
-	void noteGateways(ResendShare& _share, std::uint32_t _count, Millis _windowMs, Millis _now)
+	void recordGatewayCount(ResendShare& _share, std::uint32_t _count, Millis _windowMs, Millis _now)
 	{
 		const bool gap = _share.told.empty() || _now - _share.told.back().at > kReportLifetimeMs;
 		const bool grown = double(_count) > kMaxGrowthFactor * double(maxReported(_share, _now - _windowMs));
-		_share.firstToldAt = 0 == _share.firstToldAt ? _now : _share.firstToldAt;
+		_share.firstReportAt = 0 == _share.firstReportAt ? _now : _share.firstReportAt;
 		if (0 == _share.steadySince || gap || grown)
 		{
 			_share.steadySince = _now;
@@ -59,7 +59,7 @@
 		_share.told.push_back({_now, _count});
 	}
 
-	std::optional<std::uint32_t> gatewaysTold(const ResendShare& _share, Millis _windowMs, Millis _steadyMs, Millis _now)
+	std::optional<std::uint32_t> reportedGatewayCount(const ResendShare& _share, Millis _windowMs, Millis _steadyMs, Millis _now)
 	{
 		const bool isReported = !_share.told.empty() && _now - _share.told.back().at <= std::min(kReportLifetimeMs, _windowMs);
 		const bool steady = isReported && _now - _share.steadySince >= _steadyMs;
@@ -68,14 +68,14 @@
 
 	double allowanceShare(const ResendShare& _share, Millis _windowMs, Millis _now)
 	{
-		const bool steady = gatewaysTold(_share, _windowMs, kMinSteadyMs, _now).has_value();
+		const bool steady = reportedGatewayCount(_share, _windowMs, kMinSteadyMs, _now).has_value();
 		const double count = std::max<std::uint32_t>(1, maxReported(_share, _now - kMaxCountWindows * _windowMs));
-		const bool young = _now - _share.firstToldAt < _windowMs;
-		const double fallbackShare = kYoungDistributedShare / double(kMostGateways);
+		const bool young = _now - _share.firstReportAt < _windowMs;
+		const double fallbackShare = kYoungDistributedShare / double(kMaxGateways);
 		return steady ? std::max(fallbackShare, (young ? kYoungDistributedShare : kDistributedShare) / count) : fallbackShare;
 	}
 
-	void drawRounding(ResendShare& _share, Millis _windowMs, Random& _random, Millis _now)
+	void renewRounding(ResendShare& _share, Millis _windowMs, Random& _random, Millis _now)
 	{
 		if (_now < _share.roundingUntil)
 		{
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -24,22 +24,22 @@
 		return true;
 	}
 
-	NextStep finalAnswer(const FailedTry& _try)
+	NextStep finalAnswer(const FailedAttempt& _try)
 	{
 		switch (_try.proof)
 		{
-		case Proof::NotRun:
+		case ExecutionProof::NotRun:
 			return NextStep::AnswerNotRun;
-		case Proof::Ran:
+		case ExecutionProof::Ran:
 			return NextStep::AnswerBroken;
 		default:
 			return NextStep::AnswerUnknown;
 		}
 	}
 
-	NextStep decideNext(const FailedTry& _try)
+	NextStep decideNext(const FailedAttempt& _try)
 	{
-		const bool mayRepeat = Proof::NotRun == _try.proof || _try.repeatable;
+		const bool mayRepeat = ExecutionProof::NotRun == _try.proof || _try.repeatable;
 		if (!mayRepeat || _try.delivered || _try.timeLeftMs <= 0 || kMaxAttempts <= _try.attempt + 1)
 		{
 			return finalAnswer(_try);
--- a/src/decide/retry_window.cpp
+++ b/src/decide/retry_window.cpp
@@ -13,30 +13,30 @@
 		}
 	} // namespace
 
-	void noteFirstSend(RetryWindow& _window, Millis _windowMs, Millis _now)
+	void recordFirstSend(RetryWindow& _window, Millis _windowMs, Millis _now)
 	{
-		dropExpired(_window.firsts, _now - _windowMs);
-		_window.firsts.push_back(_now);
+		dropExpired(_window.firstSends, _now - _windowMs);
+		_window.firstSends.push_back(_now);
 	}
 
-	double resendsLeft(RetryWindow& _window, const RetryBounds& _bounds, Millis _now)
+	double remainingResends(RetryWindow& _window, const RetryLimits& _bounds, Millis _now)
 	{
-		dropExpired(_window.firsts, _now - _bounds.windowMs);
+		dropExpired(_window.firstSends, _now - _bounds.windowMs);
 		dropExpired(_window.resends, _now - _bounds.windowMs);
-		const double allowed = _bounds.ratio * double(_window.firsts.size()) + _bounds.allowance + _bounds.rounding;
+		const double allowed = _bounds.ratio * double(_window.firstSends.size()) + _bounds.allowance + _bounds.rounding;
 		return allowed - double(_window.resends.size());
 	}
 
-	bool hasResendToSpare(RetryWindow& _window, const RetryBounds& _bounds, Millis _now)
+	bool hasSpareResend(RetryWindow& _window, const RetryLimits& _bounds, Millis _now)
 	{
-		const double remaining = resendsLeft(_window, _bounds, _now);
+		const double remaining = remainingResends(_window, _bounds, _now);
 		const double spent = double(_window.resends.size());
 		return spent + 1.0 <= (remaining + spent) / 2.0;
 	}
 
-	bool takeResend(RetryWindow& _window, const RetryBounds& _bounds, Millis _now)
+	bool takeResend(RetryWindow& _window, const RetryLimits& _bounds, Millis _now)
 	{
-		if (resendsLeft(_window, _bounds, _now) < 1.0)
+		if (remainingResends(_window, _bounds, _now) < 1.0)
 		{
 			return false;
 		}
--- a/src/decide/route.cpp
+++ b/src/decide/route.cpp
@@ -18,13 +18,13 @@
 			Other
 		};
 
-		bool passes(const Candidate& _candidate, ZoneFilter _filter)
+		bool passes(const AgentCandidate& _candidate, ZoneFilter _filter)
 		{
 			return _candidate.usable && (ZoneFilter::Own == _filter) == _candidate.ownZone;
 		}
 
 		/// Scans from a random index to the next usable candidate, without building a list.
-		std::optional<std::size_t> pickRandom(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
+		std::optional<std::size_t> pickRandom(const std::vector<AgentCandidate>& _candidates, ZoneFilter _filter, Random& _random)
 		{
 			const std::size_t start = randomBelow(_random, _candidates.size());
 			for (std::size_t step = 0; step < _candidates.size(); ++step)
@@ -39,7 +39,7 @@
 		}
 
 		/// @returns The less loaded of two random candidates, which differ if there is more than one.
-		std::optional<std::size_t> pickBetterOfTwo(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
+		std::optional<std::size_t> pickBetterOfTwo(const std::vector<AgentCandidate>& _candidates, ZoneFilter _filter, Random& _random)
 		{
 			const std::optional<std::size_t> first = pickRandom(_candidates, _filter, _random);
 			if (!first)
@@ -56,13 +56,13 @@
 			return loadOf(_candidates[second]) < loadOf(_candidates[*first]) ? second : *first;
 		}
 
-		double costMs(const Candidate& _candidate)
+		double costMs(const AgentCandidate& _candidate)
 		{
-			return 2.0 * _candidate.distanceMs + waitMsOf(_candidate);
+			return 2.0 * _candidate.distanceMs + expectedWaitMs(_candidate);
 		}
 
 		/// Rendezvous hashing: D. G. Thaler, C. V. Ravishankar, IEEE/ACM ToN 6(1), 1998.
-		std::optional<std::size_t> findPrefixHolder(const std::vector<Candidate>& _candidates, std::uint64_t _prefix)
+		std::optional<std::size_t> findPrefixHolder(const std::vector<AgentCandidate>& _candidates, std::uint64_t _prefix)
 		{
 			std::optional<std::size_t> holder;
 			std::uint64_t highest = 0;
@@ -91,18 +91,18 @@
 		}
 	} // namespace
 
-	double loadOf(const Candidate& _candidate)
+	double loadOf(const AgentCandidate& _candidate)
 	{
-		const double runs = double(_candidate.reported) + double(_candidate.sentSince) + 1.0;
+		const double runs = double(_candidate.reported) + double(_candidate.sentSinceReport) + 1.0;
 		return runs / double(std::max(1u, _candidate.slots));
 	}
 
-	double waitMsOf(const Candidate& _candidate)
+	double expectedWaitMs(const AgentCandidate& _candidate)
 	{
 		return std::max(0.0, loadOf(_candidate) - 1.0) * _candidate.meanRunMs;
 	}
 
-	std::optional<std::size_t> chooseAgent(const std::vector<Candidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random)
+	std::optional<std::size_t> chooseAgent(const std::vector<AgentCandidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random)
 	{
 		std::optional<std::size_t> best = pickBetterOfTwo(_candidates, ZoneFilter::Own, _random);
 		if (best && _prefix)
@@ -113,7 +113,7 @@
 				best = holder;
 			}
 		}
-		if (best && 0.0 == waitMsOf(_candidates[*best]))
+		if (best && 0.0 == expectedWaitMs(_candidates[*best]))
 		{
 			return best;
 		}
@@ -125,7 +125,7 @@
 		return best;
 	}
 
-	std::optional<std::size_t> chooseAtRandom(const std::vector<Candidate>& _candidates, Random& _random)
+	std::optional<std::size_t> chooseAtRandom(const std::vector<AgentCandidate>& _candidates, Random& _random)
 	{
 		const std::size_t start = randomBelow(_random, _candidates.size());
 		for (std::size_t step = 0; step < _candidates.size(); ++step)
@@ -139,7 +139,7 @@
 		return std::nullopt;
 	}
 
-	std::optional<std::size_t> chooseRoundRobin(const std::vector<Candidate>& _candidates, std::uint64_t& _next)
+	std::optional<std::size_t> chooseRoundRobin(const std::vector<AgentCandidate>& _candidates, std::uint64_t& _next)
 	{
 		for (std::size_t step = 0; step < _candidates.size(); ++step)
 		{
@@ -152,12 +152,12 @@
 		return std::nullopt;
 	}
 
-	std::optional<std::size_t> chooseLeastReported(const std::vector<Candidate>& _candidates)
+	std::optional<std::size_t> chooseLeastReported(const std::vector<AgentCandidate>& _candidates)
 	{
 		std::optional<std::size_t> best;
 		for (std::size_t index = 0; index < _candidates.size(); ++index)
 		{
-			const Candidate& candidate = _candidates[index];
+			const AgentCandidate& candidate = _candidates[index];
 			if (candidate.usable && (!best || candidate.reported < _candidates[*best].reported))
 			{
 				best = index;
--- a/src/decide/silence.cpp
+++ b/src/decide/silence.cpp
@@ -19,19 +19,19 @@
 		/// can still begin before the caller gives up.
 		constexpr double kLeaveFactor = 1.5;
 
-		Millis silenceTimeoutMs(const Hearing& _hearing)
+		Millis silenceTimeoutMs(const UpstreamActivity& _hearing)
 		{
 			return std::max(kSilentMs, Millis(kSilentPasses * _hearing.passMs));
 		}
 	} // namespace
 
-	bool isSilent(const Hearing& _hearing, Millis _now)
+	bool isSilent(const UpstreamActivity& _hearing, Millis _now)
 	{
-		const bool quiet = 0 < _hearing.inFlight && !_hearing.hasQueue && _now - _hearing.quietSince > silenceTimeoutMs(_hearing);
-		return quiet && kOthersRespondMs <= _hearing.othersHeardAt - _hearing.quietSince;
+		const bool quiet = 0 < _hearing.inFlight && !_hearing.hasQueue && _now - _hearing.silentSince > silenceTimeoutMs(_hearing);
+		return quiet && kOthersRespondMs <= _hearing.groupLastHeardAt - _hearing.silentSince;
 	}
 
-	bool shouldLeaveSilent(const Hearing& _hearing, Millis _waitedMs, Millis _now)
+	bool shouldAbandonSilent(const UpstreamActivity& _hearing, Millis _waitedMs, Millis _now)
 	{
 		return kLeaveFactor * double(silenceTimeoutMs(_hearing)) <= double(_waitedMs) && isSilent(_hearing, _now);
 	}
--- a/src/decide/text_difference.cpp
+++ b/src/decide/text_difference.cpp
@@ -106,7 +106,7 @@
 		}
 	} // namespace
 
-	std::string differenceBetween(std::string_view _base, std::string_view _target)
+	std::string makeTextDifference(std::string_view _base, std::string_view _target)
 	{
 		std::string difference = hashOf(_target);
 		const Blocks blocks = indexBlocks(_base);
--- a/src/decide/upstream_choice.cpp
+++ b/src/decide/upstream_choice.cpp
@@ -76,19 +76,19 @@
 		return usable.end() == least ? std::nullopt : std::optional(*least);
 	}
 
-	void noteTry(UpstreamHealth& _health, bool _failed, Millis _now)
+	void recordAttempt(UpstreamHealth& _health, bool _failed, Millis _now)
 	{
 		_health.failureRate += kFailureGain * ((_failed ? 1.0 : 0.0) - _health.failureRate);
 		if (!_failed)
 		{
-			_health.failuresInARow = 0;
+			_health.consecutiveFailures = 0;
 			_health.suspendedUntil = 0;
 			return;
 		}
-		_health.failuresInARow += 1;
-		if (kFailuresToSuspend <= _health.failuresInARow)
+		_health.consecutiveFailures += 1;
+		if (kFailuresToSuspend <= _health.consecutiveFailures)
 		{
-			const std::uint32_t doublings = std::min(kMaxDoublings, _health.failuresInARow - kFailuresToSuspend);
+			const std::uint32_t doublings = std::min(kMaxDoublings, _health.consecutiveFailures - kFailuresToSuspend);
 			_health.suspendedUntil = _now + std::min(kMaxSuspendMs, kSuspendMs << doublings);
 		}
 	}
--- a/src/entry/agent_link.cpp
+++ b/src/entry/agent_link.cpp
@@ -42,14 +42,14 @@
 		this->heartbeatMs = _everyMs;
 	}
 
-	void AgentLink::hearList(const std::string& _address, ListState _state)
+	void AgentLink::applyListState(const std::string& _address, ListState _state)
 	{
 		bool moved = false;
 		{
 			absl::MutexLock lock(&this->mutex);
 			moved = this->address != _address;
 			this->address = _address;
-			archdyke::hearList(this->member, _state);
+			archdyke::applyListState(this->member, _state);
 		}
 		if (moved)
 		{
@@ -64,14 +64,14 @@
 		return this->name;
 	}
 
-	Candidate AgentLink::candidate()
+	AgentCandidate AgentLink::candidate()
 	{
 		absl::MutexLock lock(&this->mutex);
-		Candidate candidate;
+		AgentCandidate candidate;
 		candidate.usable = mayReceiveWork(this->member) && 0 < this->load.slots;
 		candidate.slots = this->load.slots;
 		candidate.reported = this->load.running + this->load.queued;
-		candidate.sentSince = this->unreported;
+		candidate.sentSinceReport = this->unreported;
 		candidate.meanRunMs = this->load.meanRunMs;
 		return candidate;
 	}
@@ -197,7 +197,7 @@
 			this->hearLoad(readLoad(_response.getLoad()));
 			{
 				absl::MutexLock lock(&this->mutex);
-				hearLink(this->member, true);
+				applyLinkState(this->member, true);
 			}
 			logInfo("agent_link_up", {{"agent", this->name.name}, {"incarnation", toHex(_connection.agentIncarnation)}, {"session", _connection.session}});
 		}));
@@ -222,7 +222,7 @@
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->load = _load;
-		hearAgent(this->member, _load.incarnation, _load.leaving);
+		applyAgentState(this->member, _load.incarnation, _load.leaving);
 	}
 
 	void AgentLink::markBroken(std::uint64_t _session, const std::string& _why)
@@ -247,7 +247,7 @@
 		this->connection = nullptr;
 		{
 			absl::MutexLock lock(&this->mutex);
-			hearLink(this->member, false);
+			applyLinkState(this->member, false);
 		}
 		if (wasReady)
 		{
--- a/src/entry/agent_link.h
+++ b/src/entry/agent_link.h
@@ -56,12 +56,12 @@
 		void setHeartbeat(Millis _everyMs);
 
 		/// Takes in what the VM list says.
-		void hearList(const std::string& _address, ListState _state);
+		void applyListState(const std::string& _address, ListState _state);
 
 		const AgentIdentity& identity() const;
 
 		/// @returns The agent as a candidate; ownZone and distance are the caller's to set.
-		Candidate candidate();
+		AgentCandidate candidate();
 
 		/// @returns Incarnation of the agent at the other end; 0 while there is none.
 		std::uint64_t incarnation();
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -122,7 +122,7 @@
 			_transaction.reads.push_back(_item->key);
 			return false;
 		}
-		const ClaimVerdict verdict = readClaim(_item->row, _item->nonce);
+		const ClaimVerdict verdict = evaluateClaim(_item->row, _item->nonce);
 		if (Wish::Claim == _item->wish && ClaimVerdict::Free != verdict)
 		{
 			this->settle(_item, toEnd(verdict));
--- a/src/entry/config_keeper.cpp
+++ b/src/entry/config_keeper.cpp
@@ -97,7 +97,7 @@
 	{
 		std::shared_ptr<const ActiveConfig> config = activate(_mark, _bytes);
 		absl::MutexLock lock(&this->mutex);
-		if (holdStaged(this->marks, _mark))
+		if (recordStaged(this->marks, _mark))
 		{
 			this->next = std::move(config);
 			this->bytesByDigest[_mark.digest] = _bytes;
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -51,7 +51,7 @@
 			const auto link = this->links.find(vm.name);
 			if (this->links.end() != link)
 			{
-				link->second->hearList(vm.rpc, vm.state);
+				link->second->applyListState(vm.rpc, vm.state);
 			}
 		}
 	}
@@ -104,7 +104,7 @@
 		RpcLoop& loop = *this->loops[stableHash(_upstream.name) % this->loops.size()];
 		auto link = std::make_shared<AgentLink>(loop, AgentIdentity{_upstream.name, _upstream.zone, _upstream.service}, this->incarnation);
 		const Vm& vm = this->vms.at(_upstream.name);
-		link->hearList(vm.rpc, vm.state);
+		link->applyListState(vm.rpc, vm.state);
 		link->open();
 		return link;
 	}
--- a/src/entry/filters.cpp
+++ b/src/entry/filters.cpp
@@ -108,7 +108,7 @@
 
 	void limitRate(OrganisationLimits& _limits, const Organisation& _organisation, std::uint32_t _entries, Millis _now)
 	{
-		const RateLimit share = shareOf({_organisation.requestsPerSecond, _organisation.burst}, _entries);
+		const RateLimit share = rateLimitPerEntry({_organisation.requestsPerSecond, _organisation.burst}, _entries);
 		const std::optional<Millis> wait = _limits.take(_organisation.name, share, _now);
 		if (wait)
 		{
--- a/src/entry/filters.h
+++ b/src/entry/filters.h
@@ -26,7 +26,7 @@
 		struct Shard
 		{
 			absl::Mutex mutex;
-			absl::flat_hash_map<std::string, Bucket> buckets ABSL_GUARDED_BY(mutex);
+			absl::flat_hash_map<std::string, TokenBucket> buckets ABSL_GUARDED_BY(mutex);
 		};
 
 		std::array<Shard, kShards> shards;
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -154,7 +154,7 @@
 		const Millis begunAt = nowMs();
 		if (this->platform.transact({{}, {{key, row.version}}, {{key, encodeLease(step.row), 0}}}).committed)
 		{
-			leaseWritten(this->lease, step.row, begunAt, nowMs());
+			recordLeaseWrite(this->lease, step.row, begunAt, nowMs());
 		}
 	}
 
--- a/src/entry/request_reconnect.cpp
+++ b/src/entry/request_reconnect.cpp
@@ -82,11 +82,11 @@
 			const std::optional<RevokeState> state = this->settle(_until);
 			if (RevokeState::NotRun == state)
 			{
-				return TryFailure{Proof::NotRun, RefusalReason::None, kComeBackMs, "link_lost", "the link to the upstream was lost and the request was taken back; come back after the time in Retry-After"};
+				return TryFailure{ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "link_lost", "the link to the upstream was lost and the request was taken back; come back after the time in Retry-After"};
 			}
 			if (RevokeState::Started != state)
 			{
-				return TryFailure{Proof::Unknown, RefusalReason::None, 0, "link_lost", "the link to the upstream was lost and whether the request ran can't be known; check before you send it again"};
+				return TryFailure{ExecutionProof::Unknown, RefusalReason::None, 0, "link_lost", "the link to the upstream was lost and whether the request ran can't be known; check before you send it again"};
 			}
 			this->current.started = true;
 		}
@@ -96,7 +96,7 @@
 			this->context.resumed.Increment();
 			return this->handleFrames(*frames);
 		}
-		return TryFailure{Proof::Ran, RefusalReason::None, 0, "answer_lost", "the request ran, but the link to its upstream was lost and the answer can't be completed; check before you send it again"};
+		return TryFailure{ExecutionProof::Ran, RefusalReason::None, 0, "answer_lost", "the request ran, but the link to its upstream was lost and the answer can't be completed; check before you send it again"};
 	}
 
 	std::optional<RequestRun::TryFailure> RequestRun::handleFrames(const std::vector<AnswerFrame>& _frames)
@@ -116,7 +116,7 @@
 	{
 		if (_event.neverSent)
 		{
-			return TryFailure{Proof::NotRun, RefusalReason::None, kComeBackMs, "link_down", "the link to the upstream is down; come back after the time in Retry-After"};
+			return TryFailure{ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "link_down", "the link to the upstream is down; come back after the time in Retry-After"};
 		}
 		const bool another = this->request.repeatable && !this->delivered;
 		const Millis limit = another ? kQuickResumeMs : this->current.started ? kResumeMs
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -21,10 +21,10 @@
 			return random;
 		}
 
-		int severity(Proof _proof)
+		int severity(ExecutionProof _proof)
 		{
-			return Proof::NotRun == _proof ? 0 : Proof::Unknown == _proof ? 1
-			                                                              : 2;
+			return ExecutionProof::NotRun == _proof ? 0 : ExecutionProof::Unknown == _proof ? 1
+			                                                                                : 2;
 		}
 	} // namespace
 
@@ -58,18 +58,18 @@
 		{
 			return Outcome::Ran;
 		}
-		switch (this->worst.value_or(Proof::NotRun))
+		switch (this->worst.value_or(ExecutionProof::NotRun))
 		{
-		case Proof::NotRun:
+		case ExecutionProof::NotRun:
 			return Outcome::NotRun;
-		case Proof::Ran:
+		case ExecutionProof::Ran:
 			return Outcome::Ran;
 		default:
 			return Outcome::Unknown;
 		}
 	}
 
-	void RequestRun::noteProof(Proof _proof)
+	void RequestRun::recordProof(ExecutionProof _proof)
 	{
 		if (!this->worst || severity(*this->worst) < severity(_proof))
 		{
@@ -84,11 +84,11 @@
 		{
 			return nullptr;
 		}
-		std::vector<Candidate> candidates;
+		std::vector<AgentCandidate> candidates;
 		candidates.reserve(targets->size());
 		for (const RouteTarget& target : *targets)
 		{
-			Candidate candidate = target.link->candidate();
+			AgentCandidate candidate = target.link->candidate();
 			candidate.id = target.id;
 			candidate.ownZone = target.ownZone;
 			candidate.distanceMs = target.distanceMs;
@@ -139,7 +139,7 @@
 			this->current.started = true;
 			return std::nullopt;
 		}
-		const Proof proof = RefusalReason::Duplicate == _event.reason ? Proof::Unknown : Proof::NotRun;
+		const ExecutionProof proof = RefusalReason::Duplicate == _event.reason ? ExecutionProof::Unknown : ExecutionProof::NotRun;
 		return TryFailure{proof, _event.reason, std::max<Millis>(1, _event.retryAfterMs), std::string(toString(_event.reason)), "the upstream " + this->current.link->identity().name + " refused the request (" + std::string(toString(_event.reason)) + "); come back after the time in Retry-After"};
 	}
 
@@ -156,7 +156,7 @@
 		case FrameAction::Gap:
 			return this->reconnect(nowMs() + kResumeMs);
 		case FrameAction::Broken:
-			return TryFailure{_frame.notRun ? Proof::NotRun : Proof::Ran, RefusalReason::None, kComeBackMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; come back after the time in Retry-After" : " broke off its answer; check with it before you send the request again")};
+			return TryFailure{_frame.notRun ? ExecutionProof::NotRun : ExecutionProof::Ran, RefusalReason::None, kComeBackMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; come back after the time in Retry-After" : " broke off its answer; check with it before you send the request again")};
 		default:
 			this->context.droppedFrames.Increment();
 			return std::nullopt;
@@ -165,14 +165,14 @@
 
 	std::optional<RequestRun::TryFailure> RequestRun::handleDeadline()
 	{
-		Proof proof = Proof::Ran;
+		ExecutionProof proof = ExecutionProof::Ran;
 		if (!this->current.started)
 		{
 			const std::optional<RevokeState> state = this->settle(nowMs() + kDeadlineSettleMs);
-			proof = RevokeState::NotRun == state ? Proof::NotRun : RevokeState::Started == state ? Proof::Ran
-			                                                                                     : Proof::Unknown;
+			proof = RevokeState::NotRun == state ? ExecutionProof::NotRun : RevokeState::Started == state ? ExecutionProof::Ran
+			                                                                                              : ExecutionProof::Unknown;
 		}
-		if (Proof::NotRun != proof)
+		if (ExecutionProof::NotRun != proof)
 		{
 			this->current.link->cancel(this->current.relay.key);
 		}
@@ -213,7 +213,7 @@
 
 	RequestRun::TryFailure RequestRun::noUpstream() const
 	{
-		return {Proof::NotRun, RefusalReason::None, kComeBackMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" takes work now; come back after the time in Retry-After"};
+		return {ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" takes work now; come back after the time in Retry-After"};
 	}
 
 	RejectedError RequestRun::giveUp(const TryFailure& _failure) const
@@ -228,7 +228,7 @@
 
 	NextStep RequestRun::stepAfter(const TryFailure& _failure)
 	{
-		const FailedTry failed{_failure.proof, _failure.refusal, this->attempts, this->request.repeatable, this->delivered, this->request.deadline - nowMs()};
+		const FailedAttempt failed{_failure.proof, _failure.refusal, this->attempts, this->request.repeatable, this->delivered, this->request.deadline - nowMs()};
 		const NextStep step = decideNext(failed);
 		if (NextStep::RetryOnBudget == step)
 		{
@@ -254,7 +254,7 @@
 			}
 			this->closeTry();
 			this->current.started = false;
-			this->noteProof(failure->proof);
+			this->recordProof(failure->proof);
 			if (NextStep::Retry != this->stepAfter(*failure))
 			{
 				throw this->giveUp(*failure);
@@ -275,7 +275,7 @@
 		if (failure)
 		{
 			this->closeTry();
-			this->noteProof(failure->proof);
+			this->recordProof(failure->proof);
 			throw this->giveUp(*failure);
 		}
 		if (this->pending.empty())
@@ -290,7 +290,7 @@
 
 	AnswerStart RequestRun::restart(const RejectedError& _error)
 	{
-		if (!this->request.repeatable || this->delivered || NextStep::Retry != this->stepAfter({Proof::Ran, RefusalReason::None, 0, _error.answer.reason, _error.answer.message}))
+		if (!this->request.repeatable || this->delivered || NextStep::Retry != this->stepAfter({ExecutionProof::Ran, RefusalReason::None, 0, _error.answer.reason, _error.answer.message}))
 		{
 			throw _error;
 		}
--- a/src/entry/request_run.h
+++ b/src/entry/request_run.h
@@ -93,7 +93,7 @@
 		/// How a try ended without a whole answer.
 		struct TryFailure
 		{
-			Proof proof = Proof::Unknown;
+			ExecutionProof proof = ExecutionProof::Unknown;
 			RefusalReason refusal = RefusalReason::None;
 			Millis retryAfterMs = 0;
 			std::string reason;
@@ -116,14 +116,14 @@
 		AnswerStart attempt();
 		TryFailure noUpstream() const;
 		RejectedError giveUp(const TryFailure& _failure) const;
-		void noteProof(Proof _proof);
+		void recordProof(ExecutionProof _proof);
 		NextStep stepAfter(const TryFailure& _failure);
 
 		RunContext context;
 		const ResolvedRequest& request;
 		const CallerRequest& caller;
 		std::uint32_t attempts = 0;
-		std::optional<Proof> worst; ///< Of the tries that ended.
+		std::optional<ExecutionProof> worst; ///< Of the tries that ended.
 		Try current;
 		std::vector<std::string> tried;
 		std::optional<AnswerStart> start;
--- a/src/entry/watcher.cpp
+++ b/src/entry/watcher.cpp
@@ -209,7 +209,7 @@
 		{
 			return;
 		}
-		std::vector<PeerHolding> holdings;
+		std::vector<PeerConfig> holdings;
 		for (const Vm& vm : this->directory.liveEntries())
 		{
 			if (this->settings.zone == vm.zone)
@@ -219,7 +219,7 @@
 				holdings.push_back({vm.name, this->heard.end() == it ? ConfigMark{} : it->second.held.head, this->heard.end() == it ? ConfigMark{} : it->second.held.staged});
 			}
 		}
-		if (zoneHolds(this->keeper.held(), holdings, this->stage->mark))
+		if (mayConfirmStaged(this->keeper.held(), holdings, this->stage->mark))
 		{
 			const std::string key = confirmKey(this->settings.zone);
 			this->platform.transact({{}, {{key, this->confirmationVersion}}, {{key, encodeConfirmation(mine), 0}}});
--- a/src/gateway/admit.cpp
+++ b/src/gateway/admit.cpp
@@ -48,23 +48,23 @@
 			return {_context.route->gapObjectiveMs, isReturningCaller(_context)};
 		}
 
-		BatchView batchView(const UpstreamGroup& _group, Millis _now)
+		BatchLoad batchView(const UpstreamGroup& _group, Millis _now)
 		{
 			return {isKnown(_group, _now) ? _group.view.passMs : 0.0, meanLoad(_group, _now)};
 		}
 
-		GroupStanding standingOf(const UpstreamGroup& _group, Millis _gapObjectiveMs, Millis _now)
+		GroupStatus standingOf(const UpstreamGroup& _group, Millis _gapObjectiveMs, Millis _now)
 		{
 			if (isDown(_group, _now))
 			{
-				return GroupStanding::Down;
+				return GroupStatus::Down;
 			}
 			if (!isKnown(_group, _now))
 			{
-				return GroupStanding::Unknown;
+				return GroupStatus::Unknown;
 			}
 			const bool late = 0 < _gapObjectiveMs && double(_gapObjectiveMs) < _group.view.passMs;
-			return late ? GroupStanding::Late : GroupStanding::InTime;
+			return late ? GroupStatus::Late : GroupStatus::InTime;
 		}
 
 		GroupCandidate candidateOf(const RequestContext& _context, const EngineModel* _engine, const BatchRequest& _request, const UpstreamGroup& _group, Millis _now)
@@ -74,13 +74,13 @@
 			candidate.ownZoneShare = double(_group.workingInZone) / double(std::max<std::uint32_t>(1, _group.working));
 			candidate.failedRequest = _context.failedInGroups.contains(_group.name);
 			const std::uint32_t members = membersThatMayGet(_group, _now);
-			candidate.hasRoom = 0 < members;
+			candidate.hasCapacity = 0 < members;
 			if (nullptr != _engine)
 			{
-				const BatchView view = batchView(_group, _now);
+				const BatchLoad view = batchView(_group, _now);
 				const double limit = batchLimit(*_engine, view, _request.gapObjectiveMs);
-				candidate.hasRoom = candidate.hasRoom && mayEnter(*_engine, view, _request);
-				candidate.fullness = (view.meanLoad + 1.0) / limit;
+				candidate.hasCapacity = candidate.hasCapacity && mayAdmit(*_engine, view, _request);
+				candidate.utilization = (view.meanLoad + 1.0) / limit;
 				candidate.room = (limit - view.meanLoad) * double(members);
 			}
 			return candidate;
@@ -109,7 +109,7 @@
 		bool allGroupsDown(const GroupOptions& _options)
 		{
 			return std::all_of(_options.candidates.begin(), _options.candidates.end(), [](const GroupCandidate& _candidate) {
-				return GroupStanding::Down == _candidate.standing;
+				return GroupStatus::Down == _candidate.standing;
 			});
 		}
 
@@ -119,7 +119,7 @@
 			const CatalogService* service = findService(*_context.catalog, _context.service);
 			const bool formsGroups = nullptr != service && service->engine && 0 < service->engine->sets;
 			return std::any_of(_options.candidates.begin(), _options.candidates.end(), [&](const GroupCandidate& _candidate) {
-				const bool hasReported = GroupStanding::InTime == _candidate.standing || GroupStanding::Late == _candidate.standing;
+				const bool hasReported = GroupStatus::InTime == _candidate.standing || GroupStatus::Late == _candidate.standing;
 				return hasReported || !formsGroups;
 			});
 		}
@@ -130,8 +130,8 @@
 			const Millis now = nowMs();
 			Outage& outage = _context.state.outages[_context.service];
 			const bool serves = anyGroupServes(_context, _options);
-			noteOutage(outage, serves, now);
-			return !serves && mayAwaitOpening(outage, {isReturningCaller(_context), callerTimeoutMs(_context), now - _arrivedAt}, now);
+			recordOutage(outage, serves, now);
+			return !serves && mayWaitForRecovery(outage, {isReturningCaller(_context), callerTimeoutMs(_context), now - _arrivedAt}, now);
 		}
 
 		/// Logs one line per group with the reason why it can't take the request.
@@ -142,7 +142,7 @@
 			{
 				const UpstreamGroup& group = *_options.groups[index];
 				const GroupCandidate& candidate = _options.candidates[index];
-				logInfo("no_room", {{"request", _context.caller.id}, {"service", _context.service}, {"group", group.name.empty() ? "-" : group.name}, {"standing", toString(candidate.standing)}, {"working", group.working}, {"mean_load", meanLoad(group, now)}, {"fullness", candidate.fullness}, {"pass_ms", group.view.passMs}, {"view_age_ms", now - group.view.at}, {"came_back", isReturningCaller(_context)}});
+				logInfo("no_room", {{"request", _context.caller.id}, {"service", _context.service}, {"group", group.name.empty() ? "-" : group.name}, {"standing", toString(candidate.standing)}, {"working", group.working}, {"mean_load", meanLoad(group, now)}, {"fullness", candidate.utilization}, {"pass_ms", group.view.passMs}, {"view_age_ms", now - group.view.at}, {"came_back", isReturningCaller(_context)}});
 			}
 		}
 	} // namespace
@@ -163,7 +163,7 @@
 		// The request was admitted before; refusing it now for lack of room would waste the work already done.
 		for (std::size_t index = 0; index < options.groups.size(); ++index)
 		{
-			options.candidates[index].hasRoom = 0 < membersThatMayGet(*options.groups[index], nowMs());
+			options.candidates[index].hasCapacity = 0 < membersThatMayGet(*options.groups[index], nowMs());
 		}
 		return chooseFrom(options, _context.state.random);
 	}
@@ -173,7 +173,7 @@
 		GatewayState& state = _context.state;
 		const bool needsRoom = nullptr != findBatchEngine(_context);
 		const Millis arrivedAt = nowMs();
-		const Millis admitBy = arrivedAt + longestWait(_context.route->objectiveMs);
+		const Millis admitBy = arrivedAt + maxCapacityWaitMs(_context.route->objectiveMs);
 		while (true)
 		{
 			if (state.board.isEvacuated(_context.service))
--- a/src/gateway/board.cpp
+++ b/src/gateway/board.cpp
@@ -78,23 +78,23 @@
 		return reportedDown || _now < _group.view.faultUntil;
 	}
 
-	Hearing hearingOf(const Upstream& _upstream, Millis _now)
+	UpstreamActivity hearingOf(const Upstream& _upstream, Millis _now)
 	{
 		const UpstreamGroup& group = *_upstream.group;
 		const bool hasQueue = 0 < _upstream.record.slots && loadOf(_upstream, _now) > double(_upstream.record.slots);
-		return {_upstream.inFlight, _upstream.quietSince, group.lastActiveAt, isKnown(group, _now) ? group.view.passMs : 0.0, hasQueue};
+		return {_upstream.inFlight, _upstream.silentSince, group.lastActiveAt, isKnown(group, _now) ? group.view.passMs : 0.0, hasQueue};
 	}
 
 	void noteHeard(Upstream& _upstream, Millis _now)
 	{
-		_upstream.quietSince = _now;
+		_upstream.silentSince = _now;
 		_upstream.group->lastActiveAt = _now;
 	}
 
 	InFlight::InFlight(UpstreamRef _upstream, Millis _now)
 	    : upstream(std::move(_upstream))
 	{
-		this->upstream->quietSince = 0 == this->upstream->inFlight ? _now : this->upstream->quietSince;
+		this->upstream->silentSince = 0 == this->upstream->inFlight ? _now : this->upstream->silentSince;
 		this->upstream->inFlight += 1;
 		this->upstream->group->inFlight += 1;
 	}
@@ -103,7 +103,7 @@
 	{
 		if (isSilent(hearingOf(*this->upstream, nowMs()), nowMs()))
 		{
-			noteTry(this->upstream->health, true, nowMs());
+			recordAttempt(this->upstream->health, true, nowMs());
 		}
 		this->upstream->inFlight -= 1;
 		this->upstream->group->inFlight -= 1;
--- a/src/gateway/board.h
+++ b/src/gateway/board.h
@@ -44,7 +44,7 @@
 	{
 		UpstreamRecord record;
 		std::uint32_t inFlight = 0; ///< Requests of this gateway.
-		Millis quietSince = 0;      ///< Time of its last response data, or of the first of the requests in flight.
+		Millis silentSince = 0;     ///< Time of its last response data, or of the first of the requests in flight.
 		std::optional<ReportedLoad> reported;
 		UpstreamHealth health;
 		std::optional<Millis> leavingSince; ///< Local clock; never reset for this incarnation.
@@ -153,7 +153,7 @@
 	bool isDown(const UpstreamGroup& _group, Millis _now);
 
 	/// @returns When an upstream and its group were last active, for the detection of silent upstreams.
-	Hearing hearingOf(const Upstream& _upstream, Millis _now);
+	UpstreamActivity hearingOf(const Upstream& _upstream, Millis _now);
 
 	/// @returns Step time of an upstream relative to the declared one, at least 1; 1 without a recent report.
 	double paceOf(const Upstream& _upstream, Millis _now);
@@ -210,7 +210,7 @@
 		void expireCold(Millis _now);
 
 		/// Sets the load that cold upstreams of a service can take; none: no limit.
-		void setColdTerms(const std::string& _service, const std::optional<ColdTerms>& _terms);
+		void setColdTerms(const std::string& _service, const std::optional<ColdCapacity>& _terms);
 
 		/// @returns The services with limits for cold upstreams, in no order.
 		std::vector<std::string> servicesWithColdTerms() const;
@@ -314,7 +314,7 @@
 		/// Limits for a service's cold upstreams.
 		struct ColdLimits
 		{
-			ColdTerms terms;
+			ColdCapacity terms;
 			ColdShare share;
 		};
 		void updateColdSends(Upstream& _upstream) const;
--- a/src/gateway/board_cold.cpp
+++ b/src/gateway/board_cold.cpp
@@ -9,7 +9,7 @@
 {
 	bool isLimitedCold(const Upstream& _upstream, Millis _now)
 	{
-		return _upstream.coldSends && 0 < warmInMs(_upstream.cold, _now);
+		return _upstream.coldSends && 0 < remainingColdMs(_upstream.cold, _now);
 	}
 
 	void Board::markCold(const UpstreamRef& _upstream, Millis _durationMs, Millis _now)
@@ -19,7 +19,7 @@
 			return;
 		}
 		const bool wasLimited = isLimitedCold(*_upstream, _now);
-		noteCold(_upstream->cold, _durationMs, _now);
+		recordCold(_upstream->cold, _durationMs, _now);
 		_upstream->group->coldUntil = std::max(_upstream->group->coldUntil, _upstream->cold.until);
 		if (!wasLimited && _upstream->coldSends)
 		{
@@ -43,7 +43,7 @@
 		}
 	}
 
-	void Board::setColdTerms(const std::string& _service, const std::optional<ColdTerms>& _terms)
+	void Board::setColdTerms(const std::string& _service, const std::optional<ColdCapacity>& _terms)
 	{
 		const auto current = this->coldLimits.find(_service);
 		const bool same = this->coldLimits.end() == current ? !_terms : _terms && current->second.terms == *_terms;
@@ -54,7 +54,7 @@
 		this->coldLimits.erase(_service);
 		if (_terms)
 		{
-			this->coldLimits[_service] = {*_terms, coldShareOf(*_terms)};
+			this->coldLimits[_service] = {*_terms, computeColdShare(*_terms)};
 		}
 		for (const GroupRef& group : this->groupsOf(_service))
 		{
@@ -81,7 +81,7 @@
 		_upstream.coldSends.reset();
 		if (this->coldLimits.end() != limits)
 		{
-			_upstream.coldSends = sendsInWindow(limits->second.share, this->gateway, _upstream.record.incarnation);
+			_upstream.coldSends = coldSendsPerWindow(limits->second.share, this->gateway, _upstream.record.incarnation);
 		}
 	}
 
@@ -94,7 +94,7 @@
 			{
 				if (acceptsRequests(*upstream) && isLimitedCold(*upstream, _now))
 				{
-					const Millis left = warmInMs(upstream->cold, _now);
+					const Millis left = remainingColdMs(upstream->cold, _now);
 					minMs = std::min(minMs.value_or(left), left);
 				}
 			}
--- a/src/gateway/board_limits.cpp
+++ b/src/gateway/board_limits.cpp
@@ -9,7 +9,7 @@
 {
 	bool isBackedOff(const Upstream& _upstream, Millis _now)
 	{
-		return 0 < backOffLeftMs(_upstream.selfReport.backOff, _now);
+		return 0 < remainingBackOffMs(_upstream.selfReport.backOff, _now);
 	}
 
 	bool wantsRequests(const Upstream& _upstream, Millis _now)
@@ -65,7 +65,7 @@
 
 	void Board::takeBackOff(const UpstreamRef& _upstream, Millis _askedMs, Millis _now)
 	{
-		if (noteBackOff(_upstream->selfReport.backOff, _askedMs, _now))
+		if (recordBackOff(_upstream->selfReport.backOff, _askedMs, _now))
 		{
 			logInfo("upstream_asks_back_off", {{"upstream", _upstream->record.incarnation}, {"service", _upstream->record.service}, {"asked_ms", _askedMs}});
 		}
@@ -96,7 +96,7 @@
 		else if (upstream != _upstream)
 		{
 			// Its row was removed and came back while the request was in flight.
-			noteBackOff(upstream->selfReport.backOff, backOffLeftMs(_upstream->selfReport.backOff, _now), _now);
+			recordBackOff(upstream->selfReport.backOff, remainingBackOffMs(_upstream->selfReport.backOff, _now), _now);
 			const bool sameRun = upstream->record.startedAt <= _upstream->record.startedAt;
 			upstream->selfReport.leaving = upstream->selfReport.leaving || (sameRun && _upstream->selfReport.leaving);
 		}
@@ -147,7 +147,7 @@
 			{
 				if (acceptsRequests(*upstream))
 				{
-					const Millis left = backOffLeftMs(upstream->selfReport.backOff, _now);
+					const Millis left = remainingBackOffMs(upstream->selfReport.backOff, _now);
 					minMs = std::min(minMs.value_or(left), left);
 				}
 			}
--- a/src/gateway/board_zones.cpp
+++ b/src/gateway/board_zones.cpp
@@ -40,7 +40,7 @@
 			const auto limits = this->coldLimits.find(upstream->record.service);
 			if (upstream->record.zone == _zone && this->coldLimits.end() != limits)
 			{
-				this->markCold(upstream, limits->second.terms.assumedMs, _now);
+				this->markCold(upstream, limits->second.terms.assumedColdMs, _now);
 			}
 		}
 	}
--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -51,15 +51,15 @@
 			co_return part;
 		}
 
-		CallerLimits limitsOf(const GatewayState& _state)
+		RequestLimits limitsOf(const GatewayState& _state)
 		{
-			return nullptr == _state.catalog ? CallerLimits() : _state.catalog->catalog.limits;
+			return nullptr == _state.catalog ? RequestLimits() : _state.catalog->catalog.limits;
 		}
 
 		/// Waits for the head of the next request.
 		aio::Task<ReadResult> readHead(GatewayState& _state, http::HttpConnection& _connection)
 		{
-			const CallerLimits limits = limitsOf(_state);
+			const RequestLimits limits = limitsOf(_state);
 			const Millis idleSince = nowMs();
 			std::optional<Millis> startedAt;
 			ReadResult result;
@@ -174,7 +174,7 @@
 	{
 		while (true)
 		{
-			const CallerLimits limits = limitsOf(this->state);
+			const RequestLimits limits = limitsOf(this->state);
 			_connection->setLimits({limits.headerBytes, limits.bodyBytes});
 			kj::Promise<ReadResult> reading = readHead(this->state, *_connection).take();
 			kj::Promise<ReadResult> closing = this->idleClosed.addBranch().then([] {
--- a/src/gateway/cold_limits.cpp
+++ b/src/gateway/cold_limits.cpp
@@ -4,7 +4,7 @@
 {
 	namespace
 	{
-		std::optional<ColdTerms> coldTermsOf(const GatewayState& _state, const CatalogService& _service, Millis _now)
+		std::optional<ColdCapacity> coldTermsOf(const GatewayState& _state, const CatalogService& _service, Millis _now)
 		{
 			if (!_service.cold)
 			{
@@ -12,8 +12,8 @@
 			}
 			const Bounds& bounds = _state.settings.bounds;
 			const double declaredRate = _service.cold->requestsPerS;
-			const std::uint32_t gateways = gatewaysAssumed(_state.resendShare, _state.board.addresses(), bounds.retryWindowMs, _now);
-			return ColdTerms{declaredRate, declaredRate * bounds.coldOvershoot + bounds.coldAllowance, gateways, _service.cold->coldMs};
+			const std::uint32_t gateways = estimateGatewayCount(_state.resendShare, _state.board.addresses(), bounds.retryWindowMs, _now);
+			return ColdCapacity{declaredRate, declaredRate * bounds.coldOvershoot + bounds.coldAllowance, gateways, _service.cold->coldMs};
 		}
 	} // namespace
 
--- a/src/gateway/crash_teller.cpp
+++ b/src/gateway/crash_teller.cpp
@@ -78,7 +78,7 @@
 		const Millis now = nowMs();
 		if (this->nextExpiryAt <= now)
 		{
-			removeFromStore(record, forgetCrashes(record.table, now), now);
+			removeFromStore(record, removeExpiredCrashes(record.table, now), now);
 			this->nextExpiryAt = now + kExpiryIntervalMs + Millis(randomBelow(this->state.random, kExpiryIntervalMs));
 		}
 		if (!isWriteDue(record, now) || this->isWriting || now < this->retryWriteAt)
--- a/src/gateway/crashes.cpp
+++ b/src/gateway/crashes.cpp
@@ -44,9 +44,9 @@
 
 		void logIfRefused(const CrashTable& _table, const std::string& _request, Millis _now)
 		{
-			if (kCrashesToRefuse == crashesOf(_table, _request, _now))
+			if (kCrashesToRefuse == countCrashes(_table, _request, _now))
 			{
-				logError("request_refused_for_crashes", {{"fingerprint", _request}, {"crashes", kCrashesToRefuse}, {"for_ms", refusedForMs(_table, _request, _now).value_or(0)}, {"remedy", "check the upstreams' logs; remove the request's rows from the store to allow it again"}});
+				logError("request_refused_for_crashes", {{"fingerprint", _request}, {"crashes", kCrashesToRefuse}, {"for_ms", remainingRefusalMs(_table, _request, _now).value_or(0)}, {"remedy", "check the upstreams' logs; remove the request's rows from the store to allow it again"}});
 			}
 		}
 
@@ -55,11 +55,11 @@
 		{
 			CrashRecord& record = _state.crashes;
 			const Millis now = nowMs();
-			if (!noteCrash(record.table, _crash, now))
+			if (!recordCrash(record.table, _crash, now))
 			{
 				return;
 			}
-			const std::size_t crashes = crashesOf(record.table, _crash.request, now);
+			const std::size_t crashes = countCrashes(record.table, _crash.request, now);
 			if (record.unpublished.size() < kMaxUnpublished)
 			{
 				record.unpublished.push_back({_crash, now, 1 < crashes});
@@ -75,7 +75,7 @@
 		GatewayState& state = _context.state;
 		const Millis now = nowMs();
 		const std::size_t runHash = hashOf(_context);
-		if (ranLately(state.crashes.runs, runHash, now))
+		if (completedRecently(state.crashes.runs, runHash, now))
 		{
 			co_return; // if the upstream has ended, another request caused it
 		}
@@ -85,7 +85,7 @@
 			state.crashes.brokenAttempts.push_back({{fingerprint, _upstream->record.incarnation}, runHash, _upstream, now});
 		}
 		kj::Promise<void> checked = crashCheckFor(state, _upstream->record).completion.addBranch();
-		if (kCrashesToRefuse <= 1 + crashesOf(state.crashes.table, fingerprint, now))
+		if (kCrashesToRefuse <= 1 + countCrashes(state.crashes.table, fingerprint, now))
 		{
 			co_await kj::mv(checked);
 			resolveBrokenAttempts(state, nowMs());
@@ -101,7 +101,7 @@
 			const bool gone = _attempt.upstream->superseded || !_state.board.isListed(_attempt.crash.incarnation);
 			const bool crashed = ended || (gone && !_attempt.upstream->leavingSince);
 			// A request that has completed meanwhile didn't cause the crash.
-			if (crashed && !ranLately(record.runs, _attempt.runHash, _now))
+			if (crashed && !completedRecently(record.runs, _attempt.runHash, _now))
 			{
 				recordUpstreamCrash(_state, _attempt.crash, *_attempt.upstream);
 			}
@@ -112,7 +112,7 @@
 	void noteWholeRun(RequestContext& _context)
 	{
 		CrashRecord& record = _context.state.crashes;
-		noteRun(record.runs, hashOf(_context), nowMs());
+		recordCompletion(record.runs, hashOf(_context), nowMs());
 		if (record.table.byRequest.empty())
 		{
 			return;
@@ -134,7 +134,7 @@
 	std::optional<Millis> crashRefusalMs(RequestContext& _context)
 	{
 		const CrashTable& table = _context.state.crashes.table;
-		return table.byRequest.empty() ? std::nullopt : refusedForMs(table, fingerprintOf(_context), nowMs());
+		return table.byRequest.empty() ? std::nullopt : remainingRefusalMs(table, fingerprintOf(_context), nowMs());
 	}
 
 	void dropPublished(CrashRecord& _record)
@@ -144,14 +144,14 @@
 		{
 			for (const UnpublishedCrash& unpublished : *kept)
 			{
-				noteCrash(_record.table, unpublished.crash, unpublished.seenAt);
+				recordCrash(_record.table, unpublished.crash, unpublished.seenAt);
 			}
 		}
 	}
 
 	void recordRemoteCrash(CrashRecord& _record, const Crash& _crash, Millis _at)
 	{
-		if (noteCrash(_record.table, _crash, _at))
+		if (recordCrash(_record.table, _crash, _at))
 		{
 			logIfRefused(_record.table, _crash.request, nowMs());
 		}
--- a/src/gateway/crashes.h
+++ b/src/gateway/crashes.h
@@ -20,7 +20,7 @@
 	struct BrokenAttempt
 	{
 		Crash crash;             ///< Recorded if the upstream turns out to have ended.
-		std::size_t runHash = 0; ///< Hash of the request in RecentRuns.
+		std::size_t runHash = 0; ///< Hash of the request in RecentCompletions.
 		UpstreamRef upstream;
 		Millis at = 0;
 	};
@@ -37,7 +37,7 @@
 	struct CrashRecord
 	{
 		CrashTable table;
-		RecentRuns runs;
+		RecentCompletions runs;
 		CrashChecks checks;
 		std::vector<BrokenAttempt> brokenAttempts; ///< Attempts whose upstreams may have ended.
 		std::vector<UnpublishedCrash> unpublished; ///< Seen here and not in the store yet; oldest first.
--- a/src/gateway/dispatch.cpp
+++ b/src/gateway/dispatch.cpp
@@ -27,7 +27,7 @@
 		{
 			if (isLimitedCold(_upstream, nowMs()))
 			{
-				noteColdSend(_upstream.cold, nowMs());
+				recordColdSend(_upstream.cold, nowMs());
 				_context.state.counters.coldSends.Increment();
 			}
 			_context.tried.insert(_upstream.record.incarnation);
@@ -38,7 +38,7 @@
 		void recordWithheld(RequestContext& _context, const Upstream& _upstream)
 		{
 			_context.state.counters.withheldSends.Increment();
-			logInfo("send_withheld", {{"request", _context.caller.id}, {"upstream", _upstream.record.incarnation}, {"back_off_ms", backOffLeftMs(_upstream.selfReport.backOff, nowMs())}, {"leaving", _upstream.leavingSince.has_value()}});
+			logInfo("send_withheld", {{"request", _context.caller.id}, {"upstream", _upstream.record.incarnation}, {"back_off_ms", remainingBackOffMs(_upstream.selfReport.backOff, nowMs())}, {"leaving", _upstream.leavingSince.has_value()}});
 			_context.tried.erase(_upstream.record.incarnation);
 			_context.group = nullptr;
 		}
@@ -47,17 +47,17 @@
 		{
 			const bool failed = !_result.answered;
 			const bool wasSuspended = isSuspended(_upstream.health, nowMs());
-			noteTry(_upstream.health, failed, nowMs());
+			recordAttempt(_upstream.health, failed, nowMs());
 			if (wasSuspended != isSuspended(_upstream.health, nowMs()))
 			{
-				logInfo(wasSuspended ? "upstream_resumed" : "upstream_suspended", {{"upstream", _upstream.record.incarnation}, {"service", _upstream.record.service}, {"failures_in_a_row", _upstream.health.failuresInARow}, {"failure_rate", _upstream.health.failureRate}, {"reason", _result.reason}});
+				logInfo(wasSuspended ? "upstream_resumed" : "upstream_suspended", {{"upstream", _upstream.record.incarnation}, {"service", _upstream.record.service}, {"failures_in_a_row", _upstream.health.consecutiveFailures}, {"failure_rate", _upstream.health.failureRate}, {"reason", _result.reason}});
 			}
 		}
 
 		bool mayRetry(RequestContext& _context, const AttemptResult& _result)
 		{
 			const bool resumable = _context.route->stream && _context.route->resumable;
-			const FailedTry failedTry{_result.proof, _result.refusal, _context.sends - 1, mayRepeat(*_context.route), _context.headSent && !resumable, _context.deadlineAt - nowMs()};
+			const FailedAttempt failedTry{_result.proof, _result.refusal, _context.sends - 1, mayRepeat(*_context.route), _context.headSent && !resumable, _context.deadlineAt - nowMs()};
 			const NextStep next = decideNext(failedTry);
 			const bool wanted = NextStep::Retry == next || NextStep::RetryOnBudget == next;
 			if (!wanted || _context.sends >= _context.route->maxAttempts)
@@ -107,7 +107,7 @@
 
 		void logFailedTry(const RequestContext& _context, const Upstream& _upstream, const AttemptResult& _result)
 		{
-			logInfo("try_failed", {{"request", _context.caller.id}, {"send", _context.sends}, {"upstream", _upstream.record.incarnation}, {"group", _upstream.group->name.empty() ? "-" : _upstream.group->name}, {"address", _upstream.record.address}, {"not_run_proved", Proof::NotRun == _result.proof}, {"reason", _result.reason}, {"group_fault", _result.groupFault}, {"left_ms", _context.deadlineAt - nowMs()}, {"catalog", _context.catalog->catalog.version}});
+			logInfo("try_failed", {{"request", _context.caller.id}, {"send", _context.sends}, {"upstream", _upstream.record.incarnation}, {"group", _upstream.group->name.empty() ? "-" : _upstream.group->name}, {"address", _upstream.record.address}, {"not_run_proved", ExecutionProof::NotRun == _result.proof}, {"reason", _result.reason}, {"group_fault", _result.groupFault}, {"left_ms", _context.deadlineAt - nowMs()}, {"catalog", _context.catalog->catalog.version}});
 		}
 
 		/// Updates the state of an upstream and its group after a failed attempt.
@@ -133,7 +133,7 @@
 		}
 	} // namespace
 
-	RetryBounds retryBounds(const GatewayState& _state)
+	RetryLimits retryBounds(const GatewayState& _state)
 	{
 		/// Share of the budget that is used: the sliding windows of several gateways aren't aligned,
 		/// and their sum must stay within the budget.
@@ -149,7 +149,7 @@
 		const bool first = 0 == _context.sends;
 		if (first)
 		{
-			noteFirstSend(state.retries[_context.service], state.settings.bounds.retryWindowMs, nowMs());
+			recordFirstSend(state.retries[_context.service], state.settings.bounds.retryWindowMs, nowMs());
 		}
 		(first ? state.counters.sends : state.counters.resends).Increment();
 		_context.sends += 1;
@@ -195,7 +195,7 @@
 				co_return std::nullopt;
 			}
 			recordFailure(_context, *upstream, result);
-			mayHaveRun = mayHaveRun || Proof::NotRun != result.proof;
+			mayHaveRun = mayHaveRun || ExecutionProof::NotRun != result.proof;
 			const RefusalCause cause = recordGroupFailure(_context, *upstream, result);
 			if (RefusalCause::GroupDown == cause)
 			{
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -137,7 +137,7 @@
 				nlohmann::json crashes = nlohmann::json::object();
 				for (const auto& [request, upstreams] : this->state.crashes.table.byRequest)
 				{
-					crashes[request] = crashesOf(this->state.crashes.table, request, nowMs());
+					crashes[request] = countCrashes(this->state.crashes.table, request, nowMs());
 				}
 				return crashes;
 			}
@@ -148,7 +148,7 @@
 				const Millis now = nowMs();
 				for (const UpstreamRef& upstream : this->state.board.all())
 				{
-					upstreams.push_back({{"incarnation", upstream->record.incarnation}, {"service", upstream->record.service}, {"group", upstream->group->name}, {"address", upstream->record.address}, {"zone", upstream->record.zone}, {"leaving", upstream->leavingSince.has_value()}, {"evacuated", upstream->evacuated}, {"inFlight", upstream->inFlight}, {"load", loadOf(*upstream, now)}, {"failureRate", upstream->health.failureRate}, {"suspended", isSuspended(upstream->health, now)}, {"quietMs", 0 == upstream->inFlight ? 0 : now - upstream->quietSince}, {"backOffMs", backOffLeftMs(upstream->selfReport.backOff, now)}, {"warmInMs", warmInMs(upstream->cold, now)}, {"coldSends", upstream->coldSends ? int(*upstream->coldSends) : -1}});
+					upstreams.push_back({{"incarnation", upstream->record.incarnation}, {"service", upstream->record.service}, {"group", upstream->group->name}, {"address", upstream->record.address}, {"zone", upstream->record.zone}, {"leaving", upstream->leavingSince.has_value()}, {"evacuated", upstream->evacuated}, {"inFlight", upstream->inFlight}, {"load", loadOf(*upstream, now)}, {"failureRate", upstream->health.failureRate}, {"suspended", isSuspended(upstream->health, now)}, {"quietMs", 0 == upstream->inFlight ? 0 : now - upstream->silentSince}, {"backOffMs", remainingBackOffMs(upstream->selfReport.backOff, now)}, {"warmInMs", remainingColdMs(upstream->cold, now)}, {"coldSends", upstream->coldSends ? int(*upstream->coldSends) : -1}});
 				}
 				return {{"name", this->state.settings.place.name}, {"role", "gateway"}, {"version", kVersion}, {"ready", this->isReady()}, {"leaving", this->state.leaving}, {"inFlight", this->state.inFlight}, {"catalog", versionOf(this->state.catalog)}, {"evacuatedZones", evacuatedZones(this->state.operators)}, {"proofAgeMs", proofAge(this->state.freshness, now).value_or(-1)}, {"crashes", this->dumpCrashes()}, {"groups", this->dumpGroups()}, {"upstreams", upstreams}};
 			}
--- a/src/gateway/load_link.cpp
+++ b/src/gateway/load_link.cpp
@@ -124,8 +124,8 @@
 		_followed.lastUpdateAt = now;
 		_followed.pauseMs = kMinRetryMs;
 		const Millis windowMs = this->state.settings.bounds.retryWindowMs;
-		noteGateways(this->state.resendShare, news.gateways, windowMs, now);
-		drawRounding(this->state.resendShare, windowMs, this->state.random, now);
+		recordGatewayCount(this->state.resendShare, news.gateways, windowMs, now);
+		renewRounding(this->state.resendShare, windowMs, this->state.random, now);
 		this->storeWatch.applyUpdate({news.proof, _response.bundle.tables, news.gateways});
 		if (_followed.roster.term == news.rosterTerm && _followed.roster.version == news.rosterVersion)
 		{
--- a/src/gateway/relay.cpp
+++ b/src/gateway/relay.cpp
@@ -45,7 +45,7 @@
 
 		AttemptResult withheld()
 		{
-			AttemptResult result = failed(Proof::NotRun, "withheld");
+			AttemptResult result = failed(ExecutionProof::NotRun, "withheld");
 			result.withheld = true;
 			return result;
 		}
@@ -86,11 +86,11 @@
 			const std::string reason = fmt::format("upstream_status_{}", _head.status);
 			if (_info.provedNotRun)
 			{
-				AttemptResult refused = failed(Proof::NotRun, reason, _info.wrongIncarnation ? RefusalReason::WrongIncarnation : RefusalReason::Overloaded);
+				AttemptResult refused = failed(ExecutionProof::NotRun, reason, _info.wrongIncarnation ? RefusalReason::WrongIncarnation : RefusalReason::Overloaded);
 				refused.groupFault = !_info.wrongIncarnation && !_info.upstreamAtFault.empty();
 				co_return refused;
 			}
-			AttemptResult result = failed(Proof::Ran, reason);
+			AttemptResult result = failed(ExecutionProof::Ran, reason);
 			if (body && !promisesNotRun(_head.status) && !_context.headSent)
 			{
 				result.failure = http::WholeAnswer{_head, *body};
@@ -146,7 +146,7 @@
 			if (!_info.signedByUpstream || _info.encoded)
 			{
 				const char* reason = _info.encoded ? "answer_encoded" : "answer_unsigned";
-				co_return failed(Proof::Ran, reason);
+				co_return failed(ExecutionProof::Ran, reason);
 			}
 			if (_context.route->stream)
 			{
@@ -155,7 +155,7 @@
 			std::optional<std::string> body = co_await readBody(_context, _upstream);
 			if (!body)
 			{
-				co_return failed(Proof::Ran, "answer_broke_off");
+				co_return failed(ExecutionProof::Ran, "answer_broke_off");
 			}
 			const http::WholeAnswer whole{_head, std::move(*body)};
 			_context.writingToCaller = true;
@@ -170,7 +170,7 @@
 			const std::optional<http::ResponseHead> head = co_await readHead(_context, upstream);
 			if (!head)
 			{
-				co_return failed(Proof::Unknown, "no_answer_head");
+				co_return failed(ExecutionProof::Unknown, "no_answer_head");
 			}
 			const AnswerInfo info = _context.state.codec.decodeAnswer(*head);
 			AttemptResult result = co_await relayBody(_context, upstream, *head, info);
@@ -184,7 +184,7 @@
 		bool hasResendBudget(RequestContext& _context)
 		{
 			const GatewayState& state = _context.state;
-			return 1.0 <= resendsLeft(_context.state.retries[_context.service], retryBounds(state), nowMs());
+			return 1.0 <= remainingResends(_context.state.retries[_context.service], retryBounds(state), nowMs());
 		}
 
 		/// @returns Whether a stream should leave its upstream because it slows down its whole group.
@@ -193,7 +193,7 @@
 			const Upstream& upstream = *_context.currentUpstream;
 			GatewayState& state = _context.state;
 			const double passMs = isKnown(*upstream.group, _now) ? upstream.group->view.passMs : 0.0;
-			return shouldLeaveSlow({paceOf(upstream, _now), passMs, _context.route->gapObjectiveMs}) && hasResendToSpare(state.retries[_context.service], retryBounds(state), _now);
+			return shouldLeaveSlow({paceOf(upstream, _now), passMs, _context.route->gapObjectiveMs}) && hasSpareResend(state.retries[_context.service], retryBounds(state), _now);
 		}
 
 		/// Waits until a repeatable request should leave its upstream: when the upstream is silent while others
@@ -209,13 +209,13 @@
 				const Millis now = nowMs();
 				// Without resend budget a stream that leaves its upstream would be cut, although the upstream may recover.
 				const bool wanted = movable && !_context.writingToCaller && _context.sends < _context.route->maxAttempts && hasResendBudget(_context);
-				if (wanted && shouldLeaveSilent(hearingOf(*_context.currentUpstream, now), now - _context.lastHeardAt, now))
+				if (wanted && shouldAbandonSilent(hearingOf(*_context.currentUpstream, now), now - _context.lastHeardAt, now))
 				{
-					co_return failed(Proof::Unknown, "upstream_silent");
+					co_return failed(ExecutionProof::Unknown, "upstream_silent");
 				}
 				if (wanted && resumable && shouldLeaveSlowUpstream(_context, now))
 				{
-					co_return failed(Proof::Unknown, "upstream_slow");
+					co_return failed(ExecutionProof::Unknown, "upstream_slow");
 				}
 			}
 		}
@@ -241,7 +241,7 @@
 		}
 	} // namespace
 
-	AttemptResult failed(Proof _proof, std::string _reason, RefusalReason _refusal)
+	AttemptResult failed(ExecutionProof _proof, std::string _reason, RefusalReason _refusal)
 	{
 		AttemptResult result;
 		result.proof = _proof;
@@ -295,7 +295,7 @@
 		if (nullptr == lease.connection)
 		{
 			recordSend(_context);
-			co_return failed(Proof::NotRun, "connect_failed: " + connectError);
+			co_return failed(ExecutionProof::NotRun, "connect_failed: " + connectError);
 		}
 		if (!wantsRequests(*_upstream, nowMs()))
 		{
@@ -317,7 +317,7 @@
 		kj::Promise<AttemptResult> leaving = waitToLeaveUpstream(_context).take();
 		AttemptResult result = co_await relayed.exclusiveJoin(kj::mv(leaving));
 		const bool completeExchange = result.answered || result.failure || RefusalReason::None != result.refusal;
-		const bool notRun = Proof::NotRun == result.proof && !result.answered;
+		const bool notRun = ExecutionProof::NotRun == result.proof && !result.answered;
 		if (notRun)
 		{
 			_context.maybeRunning = mayHaveRunBefore;
--- a/src/gateway/relay.h
+++ b/src/gateway/relay.h
@@ -9,9 +9,9 @@
 	/// Result of one attempt at an upstream.
 	struct AttemptResult
 	{
-		bool answered = false;        ///< The caller has received the complete response.
-		bool withheld = false;        ///< Nothing was sent because the upstream accepts no more requests at present.
-		Proof proof = Proof::Unknown; ///< Whether the request ran, if not answered.
+		bool answered = false;                          ///< The caller has received the complete response.
+		bool withheld = false;                          ///< Nothing was sent because the upstream accepts no more requests at present.
+		ExecutionProof proof = ExecutionProof::Unknown; ///< Whether the request ran, if not answered.
 		RefusalReason refusal = RefusalReason::None;
 		std::optional<http::WholeAnswer> failure; ///< Error response of the upstream that may be forwarded.
 		std::optional<Millis> keepIdleMs;         ///< How long the connection may be kept idle; none to close it.
--- a/src/gateway/relay_p.h
+++ b/src/gateway/relay_p.h
@@ -6,7 +6,7 @@
 namespace archdyke::gateway
 {
 	/// @returns The result of an attempt that gave the caller no complete response.
-	AttemptResult failed(Proof _proof, std::string _reason, RefusalReason _refusal = RefusalReason::None);
+	AttemptResult failed(ExecutionProof _proof, std::string _reason, RefusalReason _refusal = RefusalReason::None);
 
 	/// @returns The result of an attempt whose complete response the caller has received.
 	AttemptResult answered();
--- a/src/gateway/relay_stream.cpp
+++ b/src/gateway/relay_stream.cpp
@@ -52,7 +52,7 @@
 			for (const StreamEvent& event : splitEvents(_context.splitter, _chunk))
 			{
 				const std::optional<std::uint64_t> last = _context.lastDeliveredId ? _context.lastDeliveredId : _context.caller.resumeAfter;
-				const EventVerdict verdict = judgeEvent(event, last);
+				const EventVerdict verdict = classifyEvent(event, last);
 				if (EventVerdict::Break == verdict)
 				{
 					accepted.hasGap = true;
@@ -79,7 +79,7 @@
 			{
 				if (!_context.splitter.rest.empty())
 				{
-					co_return failed(Proof::Ran, "stream_ended_within_an_event");
+					co_return failed(ExecutionProof::Ran, "stream_ended_within_an_event");
 				}
 				std::string last(http::kLastChunk);
 				co_await writeStreamBytes(_context, _response, std::move(last));
@@ -87,7 +87,7 @@
 			}
 			if (PartKind::Body != part.kind)
 			{
-				co_return failed(Proof::Ran, "stream_broke_off");
+				co_return failed(ExecutionProof::Ran, "stream_broke_off");
 			}
 			const AcceptedEvents accepted = acceptEvents(_context, part.body);
 			if (!accepted.bytes.empty())
@@ -97,7 +97,7 @@
 			}
 			if (accepted.hasGap)
 			{
-				co_return failed(Proof::Ran, "stream_events_missing");
+				co_return failed(ExecutionProof::Ran, "stream_events_missing");
 			}
 		}
 	}
--- a/src/gateway/request.cpp
+++ b/src/gateway/request.cpp
@@ -205,7 +205,7 @@
 		std::optional<Millis> retryInMs;
 		if (RefusalCause::GroupDown == _cause)
 		{
-			retryInMs = expectedOpeningMs(_context.state.outages[_context.service], now);
+			retryInMs = expectedRecoveryMs(_context.state.outages[_context.service], now);
 		}
 		if (RefusalCause::BackOff == _cause)
 		{
@@ -222,7 +222,7 @@
 			retryInMs = crashRefusalMs(_context);
 			_context.state.counters.crashRefusals.Increment();
 		}
-		return {kUnavailable, comeBackAfter(_cause, retryInMs, left, _context.state.random), std::string(toString(_cause))};
+		return {kUnavailable, chooseRetryDelayMs(_cause, retryInMs, left, _context.state.random), std::string(toString(_cause))};
 	}
 
 	void appendReason(RequestContext& _context, const std::string& _reason)
--- a/src/gateway/request.h
+++ b/src/gateway/request.h
@@ -90,7 +90,7 @@
 	aio::Task<AfterRequest> runRequest(GatewayState& _state, http::HttpConnection& _connection, ReceivedRequest _received);
 
 	/// @returns The present bounds of this gateway's resends.
-	RetryBounds retryBounds(const GatewayState& _state);
+	RetryLimits retryBounds(const GatewayState& _state);
 
 	/// Counts an attempt that starts at the chosen upstream.
 	void recordSend(RequestContext& _context);
--- a/src/gateway/watch.cpp
+++ b/src/gateway/watch.cpp
@@ -186,18 +186,18 @@
 		const std::uint64_t known = table.version;
 		if (_rows.storeTime)
 		{
-			noteClock(this->state.freshness, _rows.sentAt, *_rows.storeTime);
+			recordStoreClock(this->state.freshness, _rows.sentAt, *_rows.storeTime);
 		}
-		this->recordStoreResponse(_rows.storeTime ? ownTimeOf(this->state.freshness, *_rows.storeTime).value_or(_rows.sentAt) : _rows.sentAt);
+		this->recordStoreResponse(_rows.storeTime ? toLocalTime(this->state.freshness, *_rows.storeTime).value_or(_rows.sentAt) : _rows.sentAt);
 		store::takeRows(table, _rows, _whole);
 		_feed.needsWhole = false;
 		this->applyChanges(_feed, known);
 		// A newer configuration that can't be decoded may revoke keys, so the current one must not count as proven.
 		if (&this->operators == &_feed && nullptr != this->state.catalog && 0 == this->unreadableRow)
 		{
-			noteProof(this->state.freshness, _rows.sentAt, _rows.storeTime);
+			recordProof(this->state.freshness, _rows.sentAt, _rows.storeTime);
 		}
-		this->behindSince = isBehind(this->state.operators, this->relayedProof.changedAt) ? this->behindSince : 0;
+		this->behindSince = isMissingChange(this->state.operators, this->relayedProof.changedAt) ? this->behindSince : 0;
 		return _rows.rows.empty() ? 0 : _feed.pauseMs;
 	}
 
--- a/src/gateway/watch_crashes.cpp
+++ b/src/gateway/watch_crashes.cpp
@@ -21,11 +21,11 @@
 			}
 			else if (row.gone)
 			{
-				dropCrash(record.table, read->crash);
+				removeCrash(record.table, read->crash);
 			}
 			else
 			{
-				recordRemoteCrash(record, read->crash, ownTimeOf(this->state.freshness, read->storeTime).value_or(nowMs()));
+				recordRemoteCrash(record, read->crash, toLocalTime(this->state.freshness, read->storeTime).value_or(nowMs()));
 			}
 		}
 	}
--- a/src/gateway/watch_news.cpp
+++ b/src/gateway/watch_news.cpp
@@ -129,7 +129,7 @@
 			logWarning("news_unusable", {{"table", _feed.name}, {"version", _news.version}, {"known", known}, {"remedy", "none: the whole table is requested"}});
 			return;
 		}
-		const std::optional<Millis> from = _news.storeTime ? ownTimeOf(this->state.freshness, *_news.storeTime) : std::nullopt;
+		const std::optional<Millis> from = _news.storeTime ? toLocalTime(this->state.freshness, *_news.storeTime) : std::nullopt;
 		if (!from || 0 == table.version || table.version < _news.version)
 		{
 			return;
@@ -149,12 +149,12 @@
 		this->applyTableNews(this->crashes, _update.tables.crashes);
 		this->applyTableNews(this->upstreams, _update.tables.upstreams);
 		// A proof that covers a change that isn't known here doesn't prove the state here; that of the followed table does.
-		const bool behind = isBehind(this->state.operators, this->proof().changedAt);
+		const bool behind = isMissingChange(this->state.operators, this->proof().changedAt);
 		const store::ConfigurationProof valid = behind ? store::proofOf(this->tables.operators) : this->proof();
 		this->behindSince = !behind ? 0 : (0 == this->behindSince ? this->lastUpdateAt : this->behindSince);
 		if (0 != valid.changedAt && nullptr != this->state.catalog && 0 == this->unreadableRow)
 		{
-			noteToldProof(this->state.freshness, valid.storeTime);
+			recordRelayedProof(this->state.freshness, valid.storeTime);
 			this->recordStoreResponse(this->state.freshness.provenAt.value_or(0));
 		}
 	}
--- a/src/gateway/watch_rows.cpp
+++ b/src/gateway/watch_rows.cpp
@@ -61,7 +61,7 @@
 				rows.push_back({row.key.key.substr(prefix.size()), row.version, row.gone});
 			}
 		}
-		for (const ZoneChange& change : takeEvacuations(this->state.operators, rows, _rows.version, _whole))
+		for (const ZoneChange& change : applyEvacuationRows(this->state.operators, rows, _rows.version, _whole))
 		{
 			logInfo(change.evacuated ? "zone_evacuated" : "zone_taken_back", {{"zone", change.zone}, {"row_version", change.version}, {"whole_read", _whole}});
 			if (change.evacuated)
--- a/src/gateway/watch_start.cpp
+++ b/src/gateway/watch_start.cpp
@@ -29,7 +29,7 @@
 			const store::Rows rows = co_await this->store.read(this->names.upstreams, none, none);
 			if (rows.more)
 			{
-				noteClock(this->state.freshness, rows.sentAt, rows.storeTime.value_or(rows.sentAt));
+				recordStoreClock(this->state.freshness, rows.sentAt, rows.storeTime.value_or(rows.sentAt));
 				for (const store::Row& row : store::inOrderOfWriting(rows.rows))
 				{
 					this->applyUpstreamRow(row, false);
--- a/src/operator/apply.cpp
+++ b/src/operator/apply.cpp
@@ -150,7 +150,7 @@
 			std::vector<std::string> missing;
 			do
 			{
-				missing = viewAcceptance(_stage, zonesWithEntries(_client.vmsSince(0).vms), readConfirmations(_client)).missing;
+				missing = checkAcceptance(_stage, zonesWithEntries(_client.vmsSince(0).vms), readConfirmations(_client)).missing;
 				if (missing.empty())
 				{
 					return missing;
@@ -174,7 +174,7 @@
 						return;
 					}
 					const TableRow accepted = rowOf(_client.transact({{acceptedKey(_stage.mark.version)}, {}, {}}), acceptedKey(_stage.mark.version));
-					if (ApplyEnd::Accepted == settleMove(_stage, 0 == accepted.version ? std::nullopt : std::optional(accepted.value)))
+					if (ApplyEnd::Accepted == resolveHeadUpdate(_stage, 0 == accepted.version ? std::nullopt : std::optional(accepted.value)))
 					{
 						return;
 					}
--- a/src/rpc/run.h
+++ b/src/rpc/run.h
@@ -29,7 +29,7 @@
 	/// A piece of an answer with its bytes.
 	struct AnswerFrame
 	{
-		FrameHead head;
+		FrameHeader head;
 		std::string bytes;
 		int status = 0; ///< HTTP status of the upstream.
 		std::string contentType;
--- a/src/store/table_news.cpp
+++ b/src/store/table_news.cpp
@@ -69,7 +69,7 @@
 			{
 				return std::nullopt;
 			}
-			RowDifference difference{_row.key.key, _row.version, base->version, differenceBetween(base->value, _row.value)};
+			RowDifference difference{_row.key.key, _row.version, base->version, makeTextDifference(base->value, _row.value)};
 			const bool isWorthwhile = double(difference.difference.size()) <= kMaxDifferenceShare * double(_row.value.size());
 			return isWorthwhile ? std::optional(std::move(difference)) : std::nullopt;
 		}
--- a/tests/board_rig.h
+++ b/tests/board_rig.h
@@ -11,7 +11,7 @@
 	constexpr const char* kService = "svc";
 
 	/// Terms that allow each gateway exactly two sends per window.
-	constexpr ColdTerms kTwoSends{20.0, 30.0, 14, 0};
+	constexpr ColdCapacity kTwoSends{20.0, 30.0, 14, 0};
 
 	inline UpstreamRecord recordOf(const std::string& _incarnation, const std::string& _address, const std::string& _zone = "here", Millis _startedAt = 0)
 	{
--- a/tests/test_admission.cpp
+++ b/tests/test_admission.cpp
@@ -8,9 +8,9 @@
 
 namespace
 {
-	Admission queue(std::uint32_t _slots, std::size_t _capacity)
+	AdmissionQueue queue(std::uint32_t _slots, std::size_t _capacity)
 	{
-		Admission admission;
+		AdmissionQueue admission;
 		admission.slots = _slots;
 		admission.capacity = _capacity;
 		admission.meanRunMs = 10.0;
@@ -25,23 +25,23 @@
 
 Test(admission, refuses_at_once_what_would_wait_past_its_deadline)
 {
-	Admission admission = queue(1, 100);
+	AdmissionQueue admission = queue(1, 100);
 	admitRun(admission, run("a", "x"), 0);
 	takeRun(admission, 0);
-	const AdmitResult result = admitRun(admission, run("b", "x", 1, 5), 0);
+	const AdmissionResult result = admitRun(admission, run("b", "x", 1, 5), 0);
 	cr_assert(RefusalReason::Deadline == result.refusal);
 	cr_assert(0 < result.retryAfterMs);
 }
 
 Test(admission, a_full_queue_evicts_runs_of_the_largest_organisation)
 {
-	Admission admission = queue(1, 10);
+	AdmissionQueue admission = queue(1, 10);
 	for (int index = 0; index < 10; ++index)
 	{
 		admitRun(admission, run("flood" + std::to_string(index), "large"), 0);
 	}
 	cr_assert(RefusalReason::Overloaded == admitRun(admission, run("more", "large"), 0).refusal);
-	const AdmitResult result = admitRun(admission, run("small", "small"), 0);
+	const AdmissionResult result = admitRun(admission, run("small", "small"), 0);
 	cr_assert(RefusalReason::None == result.refusal);
 	cr_assert(result.evicted.has_value() && "flood9" == result.evicted->requestId);
 	cr_assert(10 == admission.queued);
@@ -49,7 +49,7 @@
 
 Test(admission, shares_slots_by_weight)
 {
-	Admission admission = queue(1, 200);
+	AdmissionQueue admission = queue(1, 200);
 	for (int index = 0; index < 90; ++index)
 	{
 		admitRun(admission, run("a" + std::to_string(index), "heavy", 3), 0);
@@ -66,7 +66,7 @@
 
 Test(admission, expired_runs_are_returned)
 {
-	Admission admission = queue(1, 10);
+	AdmissionQueue admission = queue(1, 10);
 	admission.meanRunMs = 1.0;
 	admitRun(admission, run("a", "x"), 0);
 	admitRun(admission, run("b", "x", 1, 50), 0);
@@ -117,7 +117,7 @@
 Test(admission, matches_the_reference_fair_queue)
 {
 	tests::checkProperty("fair queue against a list", [] {
-		Admission admission = queue(1, 1000);
+		AdmissionQueue admission = queue(1, 1000);
 		ReferenceQueue reference;
 		const int steps = *rc::gen::inRange(1, 80);
 		for (int index = 0; index < steps; ++index)
--- a/tests/test_board.cpp
+++ b/tests/test_board.cpp
@@ -103,7 +103,7 @@
 Test(board, an_evacuated_zone_gets_no_requests_until_the_evacuation_ends)
 {
 	Board registry("here");
-	registry.setColdTerms(kService, ColdTerms{18.0, 32.0, 1, 3'000});
+	registry.setColdTerms(kService, ColdCapacity{18.0, 32.0, 1, 3'000});
 	Random random(1);
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2", "there"), 0);
@@ -122,7 +122,7 @@
 	cr_assert(1 == groupNamed(registry, "")->working && 2 == groupNamed(registry, "g")->working);
 	for (const UpstreamRef& upstream : registry.all())
 	{
-		cr_assert(("there" == upstream->record.zone ? 0 : 3'000) == warmInMs(upstream->cold, 700), "they may have become cold meanwhile");
+		cr_assert(("there" == upstream->record.zone ? 0 : 3'000) == remainingColdMs(upstream->cold, 700), "they may have become cold meanwhile");
 	}
 }
 
--- a/tests/test_board_cold.cpp
+++ b/tests/test_board_cold.cpp
@@ -13,7 +13,7 @@
 		int sends = 0;
 		while (const UpstreamRef upstream = _registry.choose(*groupNamed(_registry, ""), {}, _random, _now))
 		{
-			noteColdSend(upstream->cold, _now);
+			recordColdSend(upstream->cold, _now);
 			sends += 1;
 			cr_assert(sends < 100);
 		}
@@ -57,7 +57,7 @@
 		cr_assert(nullptr != chosen);
 		if ("cold" == chosen->record.incarnation)
 		{
-			noteColdSend(chosen->cold, 100);
+			recordColdSend(chosen->cold, 100);
 			atCold += 1;
 		}
 	}
@@ -100,7 +100,7 @@
 	cold.coldForMs = 3'000;
 	registry.learn(cold, 0);
 	cr_assert(1 == membersThatMayGet(*groupNamed(registry, ""), 100));
-	registry.setColdTerms(kService, ColdTerms{20.0, 30.0, 2'048});
+	registry.setColdTerms(kService, ColdCapacity{20.0, 30.0, 2'048});
 	cr_assert(RefusalCause::ColdUpstreams == whyNoneMayGet(registry.groupsOf(kService), 100));
 	registry.setColdTerms(kService, std::nullopt);
 	cr_assert(1 == membersThatMayGet(*groupNamed(registry, ""), 100));
@@ -109,7 +109,7 @@
 Test(board, a_cold_zone_beside_an_evacuated_one_leaves_only_cold_upstreams)
 {
 	Board registry("here", "gateway-1");
-	registry.setColdTerms(kService, ColdTerms{20.0, 30.0, 2'048});
+	registry.setColdTerms(kService, ColdCapacity{20.0, 30.0, 2'048});
 	registry.learn(recordOf("a", "1"), 0);
 	UpstreamRecord cold = recordOf("b", "2", "there");
 	cold.coldForMs = 3'000;
@@ -124,7 +124,7 @@
 Test(board, an_upstream_that_reports_no_cold_time_left_is_not_cold)
 {
 	Board registry("here", "gateway-1");
-	registry.setColdTerms(kService, ColdTerms{20.0, 30.0, 2'048});
+	registry.setColdTerms(kService, ColdCapacity{20.0, 30.0, 2'048});
 	UpstreamRecord warm = recordOf("a", "1");
 	warm.coldForMs = 0;
 	registry.learn(warm, 0, 3'000);
--- a/tests/test_board_limits.cpp
+++ b/tests/test_board_limits.cpp
@@ -47,7 +47,7 @@
 	cr_assert(nullptr == registry.choose(*upstreamNamed(registry, "a")->group, {"b"}, random, 101));
 	for (int failure = 0; failure < 5; ++failure)
 	{
-		noteTry(upstreamNamed(registry, "b")->health, true, 101);
+		recordAttempt(upstreamNamed(registry, "b")->health, true, 101);
 	}
 	cr_assert(100 == choices(registry, 102)["b"], "suspended, but the only one without a back-off");
 }
@@ -67,7 +67,7 @@
 Test(board, cold_upstreams_at_their_limit_take_precedence_as_the_refusal_cause)
 {
 	Board registry("here", "gateway-1");
-	registry.setColdTerms(kService, ColdTerms{20.0, 30.0, 2'048}); // no gateway may send any request
+	registry.setColdTerms(kService, ColdCapacity{20.0, 30.0, 2'048}); // no gateway may send any request
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0, 5'000);
 	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 0);
@@ -84,7 +84,7 @@
 	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 100);
 	registry.forget("a", 200);
 	registry.learn(recordOf("a", "1"), 300);
-	cr_assert(2'700 == backOffLeftMs(upstreamNamed(registry, "a")->selfReport.backOff, 400));
+	cr_assert(2'700 == remainingBackOffMs(upstreamNamed(registry, "a")->selfReport.backOff, 400));
 	cr_assert(0 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 400));
 	registry.report(reportOf("g", {"1"}, 0), 500);
 	cr_assert(0 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 500));
@@ -104,7 +104,7 @@
 	registry.learn(recordOf("a", "1"), 300);
 	cr_assert(isBackedOff(*upstreamNamed(registry, "a"), 400));
 	registry.takeBackOff(sentTo, 5'000, 500);
-	cr_assert(5'000 == backOffLeftMs(upstreamNamed(registry, "a")->selfReport.backOff, 500));
+	cr_assert(5'000 == remainingBackOffMs(upstreamNamed(registry, "a")->selfReport.backOff, 500));
 	registry.forget("a", 6'000);
 	registry.learn(recordOf("a", "1"), 6'100);
 	cr_assert(!isBackedOff(*upstreamNamed(registry, "a"), 6'200));
--- a/tests/test_claim.cpp
+++ b/tests/test_claim.cpp
@@ -14,9 +14,9 @@
 
 Test(claim, only_the_own_claim_or_a_free_key_may_run)
 {
-	cr_assert(ClaimVerdict::Free == readClaim(std::nullopt, "a"));
-	cr_assert(ClaimVerdict::Mine == readClaim(ClaimRow{ClaimState::Claimed, "a"}, "a"));
-	cr_assert(ClaimVerdict::InDoubt == readClaim(ClaimRow{ClaimState::Claimed, "b"}, "a"));
-	cr_assert(ClaimVerdict::AlreadyRan == readClaim(ClaimRow{ClaimState::Ran, "a"}, "a"));
-	cr_assert(ClaimVerdict::InDoubt == readClaim(decodeClaim("what is this"), "a"));
+	cr_assert(ClaimVerdict::Free == evaluateClaim(std::nullopt, "a"));
+	cr_assert(ClaimVerdict::Mine == evaluateClaim(ClaimRow{ClaimState::Claimed, "a"}, "a"));
+	cr_assert(ClaimVerdict::InDoubt == evaluateClaim(ClaimRow{ClaimState::Claimed, "b"}, "a"));
+	cr_assert(ClaimVerdict::AlreadyRan == evaluateClaim(ClaimRow{ClaimState::Ran, "a"}, "a"));
+	cr_assert(ClaimVerdict::InDoubt == evaluateClaim(decodeClaim("what is this"), "a"));
 }
--- a/tests/test_cold_share.cpp
+++ b/tests/test_cold_share.cpp
@@ -127,25 +127,25 @@
 			{
 				if (!gateway.partitioned)
 				{
-					noteGateways(gateway.told, std::max(1U, std::uint32_t(discoveredShare * double(reachable))), kCountWindowMs, this->now);
+					recordGatewayCount(gateway.told, std::max(1U, std::uint32_t(discoveredShare * double(reachable))), kCountWindowMs, this->now);
 				}
 			}
 		}
 
 		void send(Gateway& _gateway)
 		{
-			const std::uint32_t count = gatewaysAssumed(_gateway.told, this->upstreamCount(), kCountWindowMs, this->now);
+			const std::uint32_t count = estimateGatewayCount(_gateway.told, this->upstreamCount(), kCountWindowMs, this->now);
 			if (count != this->shareCount)
 			{
-				this->share = coldShareOf({kSustainedPerS, kPeakPerS, count});
+				this->share = computeColdShare({kSustainedPerS, kPeakPerS, count});
 				this->shareCount = count;
 			}
 			for (std::size_t index = 0; index < kUpstreams; ++index)
 			{
 				ColdState& state = _gateway.states[index];
-				while (maySendCold(state, sendsInWindow(this->share, _gateway.name, this->upstreams[index]), this->now))
+				while (maySendCold(state, coldSendsPerWindow(this->share, _gateway.name, this->upstreams[index]), this->now))
 				{
-					noteColdSend(state, this->now);
+					recordColdSend(state, this->now);
 					this->arrivals[index].push_back(this->now + Millis(this->random() % (kMaxConnectMs + 1)));
 				}
 			}
@@ -244,30 +244,30 @@
 Test(cold_share, gateway_estimate_is_high_until_the_reported_count_is_steady)
 {
 	ResendShare told;
-	cr_assert(128 == gatewaysAssumed(told, 7, kCountWindowMs, 1'000));
-	cr_assert(158 == gatewaysAssumed(told, 79, kCountWindowMs, 1'000));
-	cr_assert(kMostGateways == gatewaysAssumed(told, 5'000, kCountWindowMs, 1'000));
-	noteGateways(told, 200, kCountWindowMs, 1'000);
-	cr_assert(200 == gatewaysAssumed(told, 79, kCountWindowMs, 1'000));
+	cr_assert(128 == estimateGatewayCount(told, 7, kCountWindowMs, 1'000));
+	cr_assert(158 == estimateGatewayCount(told, 79, kCountWindowMs, 1'000));
+	cr_assert(kMaxGateways == estimateGatewayCount(told, 5'000, kCountWindowMs, 1'000));
+	recordGatewayCount(told, 200, kCountWindowMs, 1'000);
+	cr_assert(200 == estimateGatewayCount(told, 79, kCountWindowMs, 1'000));
 	for (Millis now = 1'100; now <= 14'000; now += kReportIntervalMs)
 	{
-		noteGateways(told, 36, kCountWindowMs, now);
+		recordGatewayCount(told, 36, kCountWindowMs, now);
 	}
-	cr_assert(36 == gatewaysAssumed(told, 79, kCountWindowMs, 14'000));
-	cr_assert(158 == gatewaysAssumed(told, 79, kCountWindowMs, 17'000));
+	cr_assert(36 == estimateGatewayCount(told, 79, kCountWindowMs, 14'000));
+	cr_assert(158 == estimateGatewayCount(told, 79, kCountWindowMs, 17'000));
 }
 
 Test(cold_share, extra_sends_survive_a_restart_and_differ_between_gateways)
 {
-	const ColdShare share = coldShareOf({kSustainedPerS, kPeakPerS, 36});
+	const ColdShare share = computeColdShare({kSustainedPerS, kPeakPerS, 36});
 	std::uint32_t both = 0;
 	std::uint32_t one = 0;
 	for (int upstream = 0; upstream < 400; ++upstream)
 	{
 		const std::string name = "u-" + std::to_string(upstream);
-		const std::uint32_t first = sendsInWindow(share, "gateway-1", name);
-		const std::uint32_t second = sendsInWindow(share, "gateway-2", name);
-		cr_assert(first == sendsInWindow(share, "gateway-1", name));
+		const std::uint32_t first = coldSendsPerWindow(share, "gateway-1", name);
+		const std::uint32_t second = coldSendsPerWindow(share, "gateway-2", name);
+		cr_assert(first == coldSendsPerWindow(share, "gateway-1", name));
 		one += first;
 		both += first * second;
 	}
@@ -277,9 +277,9 @@
 Test(cold_share, a_shorter_cold_time_does_not_replace_a_longer_one)
 {
 	ColdState state;
-	noteCold(state, 3'000, 1'000);
-	noteCold(state, 500, 2'000);
-	cr_assert(2'000 == warmInMs(state, 2'000));
-	noteCold(state, 3'000, 2'000);
-	cr_assert(3'000 == warmInMs(state, 2'000) && 0 == warmInMs(state, 5'000));
+	recordCold(state, 3'000, 1'000);
+	recordCold(state, 500, 2'000);
+	cr_assert(2'000 == remainingColdMs(state, 2'000));
+	recordCold(state, 3'000, 2'000);
+	cr_assert(3'000 == remainingColdMs(state, 2'000) && 0 == remainingColdMs(state, 5'000));
 }
--- a/tests/test_evacuation.cpp
+++ b/tests/test_evacuation.cpp
@@ -101,7 +101,7 @@
 			}
 			this->told = std::max(this->told, _sender.proof());
 			// A later proof that covers a change that isn't known here is ignored; the table's own proof is valid.
-			const bool behind = isBehind(this->table, this->proof().changedAt);
+			const bool behind = isMissingChange(this->table, this->proof().changedAt);
 			const store::ConfigurationProof validProof = behind ? store::proofOf(this->followed) : this->proof();
 			if (0 != validProof.changedAt && 0 != this->followed.version)
 			{
@@ -121,7 +121,7 @@
 					zones.push_back({row.key.key, row.version, row.gone});
 				}
 			}
-			takeEvacuations(this->table, zones, rows.version, _known < this->followed.wholeAt);
+			applyEvacuationRows(this->table, zones, rows.version, _known < this->followed.wholeAt);
 		}
 	};
 
@@ -131,7 +131,7 @@
 		const std::map<std::string, EvacuationRow> last = _store.lastChanges(0, _follower.provenAt);
 		for (const auto& [key, change] : last)
 		{
-			RC_ASSERT(change.version <= _follower.table.knownUpTo);
+			RC_ASSERT(change.version <= _follower.table.knownVersion);
 		}
 		for (const std::string& zone : kZones)
 		{
@@ -176,7 +176,7 @@
 			// A late response contains fewer changes than the store has by now.
 			const bool late = *rc::gen::element(false, false, true);
 			const std::size_t newest = _store.changes.size();
-			const std::size_t upTo = late ? *rc::gen::inRange<std::size_t>(self.table.knownUpTo, newest + 1) : newest;
+			const std::size_t upTo = late ? *rc::gen::inRange<std::size_t>(self.table.knownVersion, newest + 1) : newest;
 			self.read(_store, upTo, WholeRead == action);
 		}
 	}
@@ -186,10 +186,10 @@
 {
 	OperatorTable table;
 	cr_assert(!isEvacuated(table, "north"));
-	const std::vector<ZoneChange> begun = takeEvacuations(table, {row("north", 5)}, 6, false);
+	const std::vector<ZoneChange> begun = applyEvacuationRows(table, {row("north", 5)}, 6, false);
 	cr_assert(isOnly(begun, "north", 5, true));
 	cr_assert(isEvacuated(table, "north") && !isEvacuated(table, "south"));
-	const std::vector<ZoneChange> ended = takeEvacuations(table, {gone("north", 9)}, 9, false);
+	const std::vector<ZoneChange> ended = applyEvacuationRows(table, {gone("north", 9)}, 9, false);
 	cr_assert(isOnly(ended, "north", 9, false));
 	cr_assert(!isEvacuated(table, "north") && evacuatedZones(table).empty());
 }
@@ -197,40 +197,40 @@
 Test(evacuation, rewriting_a_row_changes_nothing)
 {
 	OperatorTable table;
-	takeEvacuations(table, {row("north", 5)}, 5, false);
-	cr_assert(takeEvacuations(table, {row("north", 8)}, 8, false).empty());
-	cr_assert(takeEvacuations(table, {gone("south", 9)}, 9, false).empty(), "it wasn't evacuated");
-	cr_assert(9 == table.knownUpTo);
+	applyEvacuationRows(table, {row("north", 5)}, 5, false);
+	cr_assert(applyEvacuationRows(table, {row("north", 8)}, 8, false).empty());
+	cr_assert(applyEvacuationRows(table, {gone("south", 9)}, 9, false).empty(), "it wasn't evacuated");
+	cr_assert(9 == table.knownVersion);
 }
 
 Test(evacuation, an_older_response_never_undoes_a_newer_one)
 {
 	OperatorTable table;
-	takeEvacuations(table, {row("north", 5)}, 5, false);
-	takeEvacuations(table, {gone("north", 9), row("south", 8)}, 9, false);
-	cr_assert(takeEvacuations(table, {row("north", 5)}, 7, false).empty());
-	cr_assert(takeEvacuations(table, {row("north", 5)}, 7, true).empty(), "south was evacuated after that read");
+	applyEvacuationRows(table, {row("north", 5)}, 5, false);
+	applyEvacuationRows(table, {gone("north", 9), row("south", 8)}, 9, false);
+	cr_assert(applyEvacuationRows(table, {row("north", 5)}, 7, false).empty());
+	cr_assert(applyEvacuationRows(table, {row("north", 5)}, 7, true).empty(), "south was evacuated after that read");
 	cr_assert(!isEvacuated(table, "north") && isEvacuated(table, "south"));
-	cr_assert(9 == table.knownUpTo);
+	cr_assert(9 == table.knownVersion);
 }
 
 /// The history that contained the removal was lost.
 Test(evacuation, a_full_read_without_a_row_ends_the_evacuation)
 {
 	OperatorTable table;
-	takeEvacuations(table, {row("north", 5), row("south", 6)}, 6, false);
-	const std::vector<ZoneChange> changes = takeEvacuations(table, {row("south", 6)}, 12, true);
+	applyEvacuationRows(table, {row("north", 5), row("south", 6)}, 6, false);
+	const std::vector<ZoneChange> changes = applyEvacuationRows(table, {row("south", 6)}, 12, true);
 	cr_assert(isOnly(changes, "north", 12, false));
 	cr_assert(isEvacuated(table, "south"));
-	cr_assert(12 == table.knownUpTo);
+	cr_assert(12 == table.knownVersion);
 }
 
 /// Otherwise gateways keep requesting a change that none of them can get; seen with 36 gateways.
 Test(evacuation, a_known_version_counts_like_its_rows)
 {
 	OperatorTable table;
-	takeEvacuations(table, {row("north", 5)}, 20, true);
-	cr_assert(!isBehind(table, 20) && isBehind(table, 21));
+	applyEvacuationRows(table, {row("north", 5)}, 20, true);
+	cr_assert(!isMissingChange(table, 20) && isMissingChange(table, 21));
 }
 
 /// Three gateways read the feed or the full table, restart, or use a proof relayed by another one. A gateway with
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -108,7 +108,7 @@
 		{
 			const Millis sent = now + *rc::gen::inRange<Millis>(0, 500);
 			const Millis answered = sent + *rc::gen::inRange<Millis>(0, 3'000);
-			noteProof(freshness, sent, answered - offset);
+			recordProof(freshness, sent, answered - offset);
 			RC_ASSERT(*freshness.provenAt <= answered);
 			now = answered + *rc::gen::inRange<Millis>(0, 3'000);
 		}
@@ -119,7 +119,7 @@
 {
 	Freshness freshness;
 	cr_assert(!proofAge(freshness, 10));
-	noteProof(freshness, 100, std::nullopt);
+	recordProof(freshness, 100, std::nullopt);
 	cr_assert(50 == *proofAge(freshness, 150));
 }
 
@@ -127,9 +127,9 @@
 Test(decisions, resends_stay_within_the_window)
 {
 	checkProperty("resends of any window", [] {
-		const RetryBounds bounds{0.2, 3.0, 1'000};
+		const RetryLimits bounds{0.2, 3.0, 1'000};
 		RetryWindow window;
-		std::vector<Millis> firsts;
+		std::vector<Millis> firstSends;
 		std::vector<Millis> resends;
 		Millis now = 0;
 		for (int event = 0; event < 200; ++event)
@@ -137,8 +137,8 @@
 			now += *rc::gen::inRange<Millis>(0, 40);
 			if (*rc::gen::arbitrary<bool>())
 			{
-				noteFirstSend(window, bounds.windowMs, now);
-				firsts.push_back(now);
+				recordFirstSend(window, bounds.windowMs, now);
+				firstSends.push_back(now);
 			}
 			else if (takeResend(window, bounds, now))
 			{
@@ -149,7 +149,7 @@
 					return now - bounds.windowMs < _at;
 				}));
 			};
-			RC_ASSERT(within(resends) <= bounds.ratio * double(firsts.size()) + bounds.allowance);
+			RC_ASSERT(within(resends) <= bounds.ratio * double(firstSends.size()) + bounds.allowance);
 		}
 	});
 }
@@ -178,11 +178,11 @@
 
 Test(decisions, events_are_delivered_once_and_in_order)
 {
-	cr_assert(EventVerdict::Deliver == judgeEvent({5, ""}, std::nullopt));
-	cr_assert(EventVerdict::Deliver == judgeEvent({5, ""}, 4));
-	cr_assert(EventVerdict::Skip == judgeEvent({4, ""}, 4));
-	cr_assert(EventVerdict::Break == judgeEvent({6, ""}, 4));
-	cr_assert(EventVerdict::Deliver == judgeEvent({std::nullopt, ""}, 4));
+	cr_assert(EventVerdict::Deliver == classifyEvent({5, ""}, std::nullopt));
+	cr_assert(EventVerdict::Deliver == classifyEvent({5, ""}, 4));
+	cr_assert(EventVerdict::Skip == classifyEvent({4, ""}, 4));
+	cr_assert(EventVerdict::Break == classifyEvent({6, ""}, 4));
+	cr_assert(EventVerdict::Deliver == classifyEvent({std::nullopt, ""}, 4));
 }
 
 /// With stale loads, always choosing the least loaded upstream sends it the requests of all gateways.
@@ -216,32 +216,32 @@
 Test(decisions, three_failures_suspend_an_upstream_and_a_response_ends_it)
 {
 	UpstreamHealth health;
-	noteTry(health, true, 100);
-	noteTry(health, true, 100);
+	recordAttempt(health, true, 100);
+	recordAttempt(health, true, 100);
 	cr_assert(!isSuspended(health, 100));
-	noteTry(health, true, 100);
+	recordAttempt(health, true, 100);
 	cr_assert(isSuspended(health, 101));
 	cr_assert(!isSuspended(health, 10'000));
-	noteTry(health, false, 200);
+	recordAttempt(health, false, 200);
 	cr_assert(!isSuspended(health, 201));
 }
 
 Test(decisions, a_slow_group_admits_fewer_requests)
 {
-	const BatchView quick{4.0 * (4.55 + 0.9 * 6.0), 6.0};
-	const BatchView slow{3.2 * quick.passMs, 6.0};
-	const BatchView slowAndFull{3.2 * 4.0 * (4.55 + 0.9 * 7.0), 7.0};
+	const BatchLoad quick{4.0 * (4.55 + 0.9 * 6.0), 6.0};
+	const BatchLoad slow{3.2 * quick.passMs, 6.0};
+	const BatchLoad slowAndFull{3.2 * 4.0 * (4.55 + 0.9 * 7.0), 7.0};
 	cr_assert(batchLimit(engine(), quick, 120) > 12.0);
 	cr_assert(batchLimit(engine(), slow, 120) < 8.0);
-	cr_assert(mayEnter(engine(), quick, {120, false}));
-	cr_assert(!mayEnter(engine(), slowAndFull, {120, false}));
-	cr_assert(mayEnter(engine(), slowAndFull, {120, true}));
+	cr_assert(mayAdmit(engine(), quick, {120, false}));
+	cr_assert(!mayAdmit(engine(), slowAndFull, {120, false}));
+	cr_assert(mayAdmit(engine(), slowAndFull, {120, true}));
 }
 
 Test(decisions, an_unknown_pass_time_admits_a_full_batch)
 {
-	cr_assert(mayEnter(engine(), {0.0, 11.0}, {120, false}));
-	cr_assert(!mayEnter(engine(), {0.0, 13.0}, {120, false}));
+	cr_assert(mayAdmit(engine(), {0.0, 11.0}, {120, false}));
+	cr_assert(!mayAdmit(engine(), {0.0, 13.0}, {120, false}));
 }
 
 /// Callers that were refused together don't retry together, and no delay is longer than they honour.
@@ -254,13 +254,13 @@
 		Millis most = 0;
 		for (int draw = 0; draw < 200; ++draw)
 		{
-			const Millis wait = comeBackAfter(RefusalCause(cause), std::nullopt, 8'000, random);
+			const Millis wait = chooseRetryDelayMs(RefusalCause(cause), std::nullopt, 8'000, random);
 			least = std::min(least, wait);
 			most = std::max(most, wait);
 		}
 		cr_assert(least >= 50 && most <= 8'000 / 3 && least < most);
 	}
-	cr_assert(comeBackAfter(RefusalCause::GroupDown, std::nullopt, 900, random) <= 300);
+	cr_assert(chooseRetryDelayMs(RefusalCause::GroupDown, std::nullopt, 900, random) <= 300);
 }
 
 Test(decisions, a_slow_upstream_gets_few_requests)
@@ -280,29 +280,29 @@
 
 Test(decisions, only_an_upstream_that_alone_is_silent_is_abandoned)
 {
-	const Hearing silent{1, 1'000, 2'000};
+	const UpstreamActivity silent{1, 1'000, 2'000};
 	cr_assert(isSilent(silent, 2'000) && !isSilent(silent, 1'500));
 	cr_assert(!isSilent({0, 1'000, 2'000}, 2'000));
 	cr_assert(!isSilent({1, 1'000, 1'100}, 2'000));
-	cr_assert(shouldLeaveSilent(silent, 1'000, 2'000) && !shouldLeaveSilent(silent, 500, 2'000));
+	cr_assert(shouldAbandonSilent(silent, 1'000, 2'000) && !shouldAbandonSilent(silent, 500, 2'000));
 }
 
 /// All processes are killed: callers whose streams broke retry before their group opens 1.6 s later.
 Test(decisions, returning_callers_wait_for_the_end_of_a_usual_outage)
 {
 	Outage outage;
-	noteOutage(outage, false, 10'000);
+	recordOutage(outage, false, 10'000);
 	Millis now = 10'000;
 	for (; now < 11'600; now += 10)
 	{
-		noteOutage(outage, false, now);
-		cr_assert(mayAwaitOpening(outage, {true, 6'000, now - 10'000}, now));
-		cr_assert(!mayAwaitOpening(outage, {false, 8'000, 0}, now), "who is here for the first time is told when to come back");
+		recordOutage(outage, false, now);
+		cr_assert(mayWaitForRecovery(outage, {true, 6'000, now - 10'000}, now));
+		cr_assert(!mayWaitForRecovery(outage, {false, 8'000, 0}, now), "who is here for the first time is told when to come back");
 	}
-	cr_assert(!mayAwaitOpening(outage, {true, 2'000, 1'000}, now), "half of its patience is left for its answer");
-	noteOutage(outage, true, now);
-	noteOutage(outage, false, now + 5'000);
-	cr_assert(mayAwaitOpening(outage, {true, 6'000, 0}, now + 5'000), "another outage");
+	cr_assert(!mayWaitForRecovery(outage, {true, 2'000, 1'000}, now), "half of its patience is left for its answer");
+	recordOutage(outage, true, now);
+	recordOutage(outage, false, now + 5'000);
+	cr_assert(mayWaitForRecovery(outage, {true, 6'000, 0}, now + 5'000), "another outage");
 }
 
 /// A zone is partitioned for 6 s: callers wait only at the beginning of the outage.
@@ -311,8 +311,8 @@
 	Outage outage;
 	for (Millis now = 10'000; now < 16'000; now += 100)
 	{
-		noteOutage(outage, false, now);
-		cr_assert(mayAwaitOpening(outage, {true, 6'000, 0}, now) == (now < 12'600));
+		recordOutage(outage, false, now);
+		cr_assert(mayWaitForRecovery(outage, {true, 6'000, 0}, now) == (now < 12'600));
 	}
 }
 
@@ -320,16 +320,16 @@
 Test(decisions, the_retry_delay_depends_on_the_age_of_the_outage)
 {
 	Outage outage;
-	cr_assert(!expectedOpeningMs(outage, 10'000));
-	noteOutage(outage, false, 10'000);
-	cr_assert(2'000 == expectedOpeningMs(outage, 10'000));
-	noteOutage(outage, false, 10'900);
-	cr_assert(600 == expectedOpeningMs(outage, 11'400));
-	noteOutage(outage, false, 11'500);
-	noteOutage(outage, false, 12'400);
-	cr_assert(200 == expectedOpeningMs(outage, 12'500));
-	cr_assert(!expectedOpeningMs(outage, 12'700), "it isn't one of the usual kind");
-	cr_assert(!expectedOpeningMs(outage, 14'000), "no request has seen it lately");
+	cr_assert(!expectedRecoveryMs(outage, 10'000));
+	recordOutage(outage, false, 10'000);
+	cr_assert(2'000 == expectedRecoveryMs(outage, 10'000));
+	recordOutage(outage, false, 10'900);
+	cr_assert(600 == expectedRecoveryMs(outage, 11'400));
+	recordOutage(outage, false, 11'500);
+	recordOutage(outage, false, 12'400);
+	cr_assert(200 == expectedRecoveryMs(outage, 12'500));
+	cr_assert(!expectedRecoveryMs(outage, 12'700), "it isn't one of the usual kind");
+	cr_assert(!expectedRecoveryMs(outage, 14'000), "no request has seen it lately");
 }
 
 /// One rank of 24 takes 12 times its usual time for 9 s: its streams of 20 events kept all passes at 350 ms
@@ -346,17 +346,17 @@
 Test(decisions, resends_are_kept_for_requests_that_failed)
 {
 	RetryWindow window;
-	const RetryBounds bounds{0.2, 2.0, 10'000};
+	const RetryLimits bounds{0.2, 2.0, 10'000};
 	for (int first = 0; first < 40; ++first)
 	{
-		noteFirstSend(window, bounds.windowMs, first);
+		recordFirstSend(window, bounds.windowMs, first);
 	}
 	int moved = 0;
-	for (; moved < 100 && hasResendToSpare(window, bounds, 100); ++moved)
+	for (; moved < 100 && hasSpareResend(window, bounds, 100); ++moved)
 	{
 		cr_assert(takeResend(window, bounds, 100));
 	}
 	cr_assert(5 == moved, "%d of 10", moved);
-	cr_assert(std::abs(resendsLeft(window, bounds, 100) - 5.0) < 1e-9);
+	cr_assert(std::abs(remainingResends(window, bounds, 100) - 5.0) < 1e-9);
 	cr_assert(takeResend(window, bounds, 100));
 }
--- a/tests/test_group_choice.cpp
+++ b/tests/test_group_choice.cpp
@@ -12,7 +12,7 @@
 {
 	GroupCandidate inTime(double _fullness, double _ownZoneShare = 0.0)
 	{
-		return {GroupStanding::InTime, true, _fullness, 100.0 * (1.0 - _fullness), _ownZoneShare, false};
+		return {GroupStatus::InTime, true, _fullness, 100.0 * (1.0 - _fullness), _ownZoneShare, false};
 	}
 
 	/// @returns How often each candidate is chosen.
@@ -46,10 +46,10 @@
 Test(groupchoice, a_group_that_is_down_or_full_gets_nothing)
 {
 	std::vector<GroupCandidate> candidates{inTime(0.2, 1.0), inTime(0.2), inTime(0.2)};
-	candidates[0].standing = GroupStanding::Down;
-	candidates[1].hasRoom = false;
+	candidates[0].standing = GroupStatus::Down;
+	candidates[1].hasCapacity = false;
 	cr_assert(1'000 == countChoices(candidates)[2]);
-	candidates[2].standing = GroupStanding::Down;
+	candidates[2].standing = GroupStatus::Down;
 	Random random(1);
 	cr_assert(!chooseGroup(candidates, random));
 	cr_assert(!chooseGroup({}, random));
@@ -65,12 +65,12 @@
 Test(groupchoice, a_late_or_unknown_group_gets_requests_once_groups_in_time_are_full)
 {
 	std::vector<GroupCandidate> candidates{inTime(0.1, 1.0), inTime(0.9)};
-	for (const GroupStanding standing : {GroupStanding::Late, GroupStanding::Unknown})
+	for (const GroupStatus standing : {GroupStatus::Late, GroupStatus::Unknown})
 	{
 		candidates[0].standing = standing;
-		candidates[1].hasRoom = true;
+		candidates[1].hasCapacity = true;
 		cr_assert(1'000 == countChoices(candidates)[1]);
-		candidates[1].hasRoom = false;
+		candidates[1].hasCapacity = false;
 		cr_assert(1'000 == countChoices(candidates)[0]);
 	}
 }
@@ -80,7 +80,7 @@
 	std::vector<GroupCandidate> candidates{inTime(0.1, 1.0), inTime(0.9)};
 	candidates[0].failedRequest = true;
 	cr_assert(1'000 == countChoices(candidates)[1]);
-	candidates[1].standing = GroupStanding::Down;
+	candidates[1].standing = GroupStatus::Down;
 	cr_assert(1'000 == countChoices(candidates)[0]);
 }
 
@@ -91,7 +91,7 @@
 		return chooseGroup(_seen, _random);
 	});
 	const int emptiest = maxPerGroup([](const std::vector<GroupCandidate>& _seen, Random&) {
-		return chooseEmptiestGroup(_seen);
+		return chooseLeastUtilizedGroup(_seen);
 	});
 	cr_assert(90 == emptiest && drawn < 45, "emptiest: %d at one, drawn: %d", emptiest, drawn);
 }
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -15,7 +15,7 @@
 	view.self = 1;
 	const LeaseStep step = decideLease(view, std::nullopt, 0);
 	cr_assert(step.write);
-	leaseWritten(view, step.row, 0, 10);
+	recordLeaseWrite(view, step.row, 0, 10);
 	cr_assert(1u == actingFence(view, 100).value());
 	cr_assert(!actingFence(view, kLeaseActMs));
 }
@@ -49,7 +49,7 @@
 					const Millis wroteAt = now;
 					const Millis pause = pausedInBetween ? *rc::gen::inRange<Millis>(100, 8'000) : 0;
 					pausedUntil[self] = now + pause;
-					leaseWritten(views[self], step.row, wroteAt, now);
+					recordLeaseWrite(views[self], step.row, wroteAt, now);
 				}
 			}
 			int acting = 0;
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -73,9 +73,9 @@
 	offerRun(ledger, {"r", 0}, session(1), false, 0);
 	startRun(ledger, {"r", 0});
 	finishRun(ledger, {"r", 0}, 10);
-	forgetRuns(ledger, 10 + kLedgerKeepMs);
+	removeExpiredRuns(ledger, 10 + kLedgerKeepMs);
 	cr_assert(RevokeState::Started == revokeRun(ledger, {"r", 0}, session(1), 10 + kLedgerKeepMs));
-	forgetRuns(ledger, 11 + kLedgerKeepMs);
+	removeExpiredRuns(ledger, 11 + kLedgerKeepMs);
 	cr_assert(ledger.runs.empty());
 	cr_assert(kLedgerKeepMs > kMaxDeadlineMs);
 }
--- a/tests/test_limits.cpp
+++ b/tests/test_limits.cpp
@@ -8,7 +8,7 @@
 
 Test(limits, retry_after_is_the_time_until_the_next_token)
 {
-	Bucket bucket;
+	TokenBucket bucket;
 	const RateLimit limit{4.0, 2.0};
 	cr_assert(!takeToken(bucket, limit, 0));
 	cr_assert(!takeToken(bucket, limit, 0));
@@ -21,7 +21,7 @@
 Test(limits, never_more_than_rate_and_burst)
 {
 	tests::checkProperty("bucket against a count", [] {
-		Bucket bucket;
+		TokenBucket bucket;
 		const RateLimit limit{double(*rc::gen::inRange(1, 100)), double(*rc::gen::inRange(1, 20))};
 		Millis now = 0;
 		double granted = 0.0;
@@ -36,16 +36,16 @@
 
 Test(limits, shares_of_all_entries_sum_to_the_limit)
 {
-	const RateLimit share = shareOf({100.0, 50.0}, 7);
+	const RateLimit share = rateLimitPerEntry({100.0, 50.0}, 7);
 	cr_assert(100.0 >= share.perSecond * 7.0 - 1e-9);
-	cr_assert(1.0 == shareOf({100.0, 3.0}, 7).burst);
+	cr_assert(1.0 == rateLimitPerEntry({100.0, 3.0}, 7).burst);
 }
 
 Test(retry, no_retry_after_it_may_have_run)
 {
 	tests::checkProperty("no second run of what may not be repeated", [] {
-		FailedTry failed;
-		failed.proof = Proof(*rc::gen::inRange(0, int(Proof::Count)));
+		FailedAttempt failed;
+		failed.proof = ExecutionProof(*rc::gen::inRange(0, int(ExecutionProof::Count)));
 		failed.refusal = RefusalReason(*rc::gen::inRange(0, int(RefusalReason::Count)));
 		failed.attempt = std::uint32_t(*rc::gen::inRange(0, 6));
 		failed.repeatable = *rc::gen::arbitrary<bool>();
@@ -53,9 +53,9 @@
 		failed.timeLeftMs = *rc::gen::inRange(-10, 10);
 		const NextStep step = decideNext(failed);
 		const bool again = NextStep::Retry == step || NextStep::RetryOnBudget == step;
-		RC_ASSERT(!again || Proof::NotRun == failed.proof || failed.repeatable);
+		RC_ASSERT(!again || ExecutionProof::NotRun == failed.proof || failed.repeatable);
 		RC_ASSERT(!again || (!failed.delivered && 0 < failed.timeLeftMs && failed.attempt + 1 < kMaxAttempts));
-		RC_ASSERT(NextStep::AnswerNotRun != step || Proof::NotRun == failed.proof);
+		RC_ASSERT(NextStep::AnswerNotRun != step || ExecutionProof::NotRun == failed.proof);
 	});
 }
 
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -7,14 +7,14 @@
 Test(membership, leaving_from_any_source_wins)
 {
 	Member member;
-	hearLink(member, true);
-	hearAgent(member, 5, false);
+	applyLinkState(member, true);
+	applyAgentState(member, 5, false);
 	cr_assert(mayReceiveWork(member));
-	hearList(member, ListState::Leaving);
+	applyListState(member, ListState::Leaving);
 	cr_assert(!mayReceiveWork(member));
-	hearList(member, ListState::Live);
+	applyListState(member, ListState::Live);
 	cr_assert(!mayReceiveWork(member), "a list that lags took the leaving back");
-	hearAgent(member, 6, false);
+	applyAgentState(member, 6, false);
 	cr_assert(mayReceiveWork(member));
 }
 
@@ -34,7 +34,7 @@
 			{
 			case 0:
 				list = ListState(*rc::gen::inRange(0, int(ListState::Count)));
-				hearList(member, list);
+				applyListState(member, list);
 				if (ListState::Live != list)
 				{
 					left.push_back(current);
@@ -46,7 +46,7 @@
 				current += *rc::gen::inRange<std::uint64_t>(0, 2);
 				current = 0 == current ? 1 : current;
 				const bool leaving = *rc::gen::arbitrary<bool>();
-				hearAgent(member, current, leaving);
+				applyAgentState(member, current, leaving);
 				if (leaving)
 				{
 					left.push_back(current);
@@ -55,7 +55,7 @@
 			}
 			default:
 				up = *rc::gen::arbitrary<bool>();
-				hearLink(member, up);
+				applyLinkState(member, up);
 			}
 			const bool gone = left.end() != std::find(left.begin(), left.end(), current);
 			RC_ASSERT(mayReceiveWork(member) == (up && ListState::Live == list && 0 != current && !gone));
--- a/tests/test_relay.cpp
+++ b/tests/test_relay.cpp
@@ -8,7 +8,7 @@
 {
 	const RunKey kMine{"mine", 1};
 
-	FrameHead frame(const RunKey& _key, std::uint64_t _offset, std::uint64_t _size, bool _end, std::uint64_t _total)
+	FrameHeader frame(const RunKey& _key, std::uint64_t _offset, std::uint64_t _size, bool _end, std::uint64_t _total)
 	{
 		return {_key, _offset, _size, _end, _total, false};
 	}
@@ -33,7 +33,7 @@
 Test(relay, a_failed_upstream_breaks_the_response)
 {
 	RelayState state{kMine, 0, false};
-	FrameHead failed = frame(kMine, 0, 0, true, 0);
+	FrameHeader failed = frame(kMine, 0, 0, true, 0);
 	failed.failed = true;
 	cr_assert(FrameAction::Broken == acceptFrame(state, failed).action);
 }
--- a/tests/test_resend_share.cpp
+++ b/tests/test_resend_share.cpp
@@ -36,8 +36,8 @@
 
 		void applyCount(std::uint32_t _count, Random& _random, Millis _now)
 		{
-			noteGateways(this->share, _count, kWindowMs, _now);
-			drawRounding(this->share, kWindowMs, _random, _now);
+			recordGatewayCount(this->share, _count, kWindowMs, _now);
+			renewRounding(this->share, kWindowMs, _random, _now);
 		}
 
 		std::uint32_t spend(Millis _now)
@@ -177,7 +177,7 @@
 	ResendShare share;
 	for (Millis now = 1'000; now <= 4'000; now += kReportIntervalMs)
 	{
-		noteGateways(share, 10, kWindowMs, now);
+		recordGatewayCount(share, 10, kWindowMs, now);
 	}
 	cr_assert(0.02 < allowanceShare(share, kWindowMs, 4'100));
 	cr_assert(0.001 > allowanceShare(share, kWindowMs, 7'000));
@@ -189,21 +189,21 @@
 	ResendShare share;
 	for (Millis now = 1'000; now <= 4'000; now += kReportIntervalMs)
 	{
-		noteGateways(share, 100, kWindowMs, now);
+		recordGatewayCount(share, 100, kWindowMs, now);
 	}
 	for (Millis now = 4'100; now <= 9'000; now += kReportIntervalMs)
 	{
-		noteGateways(share, 1, kWindowMs, now);
+		recordGatewayCount(share, 1, kWindowMs, now);
 	}
 	cr_assert(0.01 > allowanceShare(share, kWindowMs, 9'000));
 	for (Millis now = 9'100; now <= 60'000; now += kReportIntervalMs)
 	{
-		noteGateways(share, 1, kWindowMs, now);
+		recordGatewayCount(share, 1, kWindowMs, now);
 	}
 	cr_assert(0.01 > allowanceShare(share, kWindowMs, 60'000));
 	for (Millis now = 60'100; now <= 65'000; now += kReportIntervalMs)
 	{
-		noteGateways(share, 1, kWindowMs, now);
+		recordGatewayCount(share, 1, kWindowMs, now);
 	}
 	cr_assert(0.2 < allowanceShare(share, kWindowMs, 65'000));
 }
@@ -212,6 +212,6 @@
 {
 	ResendShare share;
 	cr_assert(0.001 > allowanceShare(share, kWindowMs, 1'000));
-	noteGateways(share, 1, kWindowMs, 1'000);
+	recordGatewayCount(share, 1, kWindowMs, 1'000);
 	cr_assert(0.001 > allowanceShare(share, kWindowMs, 1'000));
 }
--- a/tests/test_route.cpp
+++ b/tests/test_route.cpp
@@ -9,7 +9,7 @@
 
 namespace
 {
-	Candidate candidate(std::uint64_t _id, bool _ownZone, std::uint32_t _reported, bool _usable = true)
+	AgentCandidate candidate(std::uint64_t _id, bool _ownZone, std::uint32_t _reported, bool _usable = true)
 	{
 		return {_id, _usable, _ownZone, _ownZone ? 0.0 : 1.5, 16, _reported, 0, 100.0};
 	}
@@ -18,7 +18,7 @@
 Test(route, stays_in_the_zone_while_slots_are_free)
 {
 	Random random(1);
-	const std::vector<Candidate> candidates{candidate(1, true, 10), candidate(2, false, 0)};
+	const std::vector<AgentCandidate> candidates{candidate(1, true, 10), candidate(2, false, 0)};
 	for (int index = 0; index < 100; ++index)
 	{
 		cr_assert(0 == chooseAgent(candidates, std::nullopt, random));
@@ -28,14 +28,14 @@
 Test(route, leaves_the_zone_when_the_wait_exceeds_the_distance)
 {
 	Random random(1);
-	const std::vector<Candidate> candidates{candidate(1, true, 40), candidate(2, false, 0)};
+	const std::vector<AgentCandidate> candidates{candidate(1, true, 40), candidate(2, false, 0)};
 	cr_assert(1 == chooseAgent(candidates, std::nullopt, random));
 }
 
 Test(route, a_prefix_stays_with_its_holder_up_to_the_load_bound)
 {
 	Random random(1);
-	std::vector<Candidate> candidates{candidate(1, true, 2), candidate(2, true, 2), candidate(3, true, 2)};
+	std::vector<AgentCandidate> candidates{candidate(1, true, 2), candidate(2, true, 2), candidate(3, true, 2)};
 	const std::size_t holder = *chooseAgent(candidates, 42, random);
 	for (int index = 0; index < 50; ++index)
 	{
@@ -54,7 +54,7 @@
 {
 	tests::checkProperty("choice against a search of all", [] {
 		Random random(*rc::gen::arbitrary<std::uint64_t>());
-		std::vector<Candidate> candidates;
+		std::vector<AgentCandidate> candidates;
 		const int count = *rc::gen::inRange(0, 12);
 		for (int index = 0; index < count; ++index)
 		{
@@ -62,16 +62,16 @@
 		}
 		const std::optional<std::uint64_t> prefix = *rc::gen::arbitrary<bool>() ? std::optional<std::uint64_t>(5) : std::nullopt;
 		const std::optional<std::size_t> chosen = chooseAgent(candidates, prefix, random);
-		const bool any = std::any_of(candidates.begin(), candidates.end(), [](const Candidate& _c) {
+		const bool any = std::any_of(candidates.begin(), candidates.end(), [](const AgentCandidate& _c) {
 			return _c.usable;
 		});
 		RC_ASSERT(chosen.has_value() == any);
 		RC_ASSERT(!chosen || candidates[*chosen].usable);
-		const bool roomAtHome = std::any_of(candidates.begin(), candidates.end(), [](const Candidate& _c) {
+		const bool roomAtHome = std::any_of(candidates.begin(), candidates.end(), [](const AgentCandidate& _c) {
 			                        return _c.usable && _c.ownZone;
 		                        }) &&
-		                        std::all_of(candidates.begin(), candidates.end(), [](const Candidate& _c) {
-			                        return !_c.usable || !_c.ownZone || 0.0 == waitMsOf(_c);
+		                        std::all_of(candidates.begin(), candidates.end(), [](const AgentCandidate& _c) {
+			                        return !_c.usable || !_c.ownZone || 0.0 == expectedWaitMs(_c);
 		                        });
 		RC_ASSERT(!roomAtHome || candidates[*chosen].ownZone);
 	});
--- a/tests/test_store_news.cpp
+++ b/tests/test_store_news.cpp
@@ -64,12 +64,12 @@
 Test(storenews, a_received_proof_is_as_old_as_the_stores_response)
 {
 	Freshness freshness;
-	noteToldProof(freshness, 5'000);
+	recordRelayedProof(freshness, 5'000);
 	cr_assert(!freshness.provenAt, "without the store's clock there is no proof");
-	noteProof(freshness, 1'000, 4'000); // the local clock minus the store's clock is at least -3000
-	noteToldProof(freshness, 5'000);
+	recordProof(freshness, 1'000, 4'000); // the local clock minus the store's clock is at least -3000
+	recordRelayedProof(freshness, 5'000);
 	cr_assert(2'000 == freshness.provenAt);
-	noteToldProof(freshness, 4'500);
+	recordRelayedProof(freshness, 4'500);
 	cr_assert(2'000 == freshness.provenAt, "an older proof changes nothing");
 	cr_assert(300 == proofAge(freshness, 2'300));
 }
--- a/tests/test_text_difference.cpp
+++ b/tests/test_text_difference.cpp
@@ -39,7 +39,7 @@
 	checkProperty("any two texts", [] {
 		const std::string base = makeRandomText();
 		const std::string target = makeRandomText();
-		RC_ASSERT(target == applyTextDifference(base, differenceBetween(base, target)));
+		RC_ASSERT(target == applyTextDifference(base, makeTextDifference(base, target)));
 	});
 }
 
@@ -49,14 +49,14 @@
 	std::string target = document(1'000, 2);
 	target.replace(target.size() / 2, 10, "0123456789abc");
 	target += "one more line\n";
-	const std::string difference = differenceBetween(base, target);
+	const std::string difference = makeTextDifference(base, target);
 	cr_assert(difference.size() * 100 < target.size(), "%zu of %zu", difference.size(), target.size());
 	cr_assert(target == applyTextDifference(base, difference));
 }
 
 Test(textdifference, a_wrong_base_is_detected)
 {
-	const std::string difference = differenceBetween(document(100, 1), document(100, 2));
+	const std::string difference = makeTextDifference(document(100, 1), document(100, 2));
 	std::string other = document(100, 1);
 	other[other.size() / 2] ^= 1;
 	cr_assert(!applyTextDifference(other, difference));
@@ -67,7 +67,7 @@
 {
 	const std::string base = document(50, 1);
 	const std::string target = document(50, 2);
-	const std::string whole = differenceBetween(base, target);
+	const std::string whole = makeTextDifference(base, target);
 	checkProperty("cut, changed or made up", [&] {
 		std::string bytes = *rc::gen::element(whole, whole.substr(0, *rc::gen::inRange<std::size_t>(0, whole.size())), *rc::gen::arbitrary<std::string>());
 		const bool changes = *rc::gen::arbitrary<bool>() && !bytes.empty();
--- a/tests/test_tries.cpp
+++ b/tests/test_tries.cpp
@@ -125,7 +125,7 @@
 	kj::Promise<AttemptResult> result = attemptUpstream(rig.context, rig.named("first")).take();
 	rig.state.board.takeBackOff(rig.named("first"), 3'000, nowMs());
 	const AttemptResult ended = result.wait(rig.io.waitScope);
-	cr_assert(ended.withheld && !ended.answered && Proof::NotRun == ended.proof);
+	cr_assert(ended.withheld && !ended.answered && ExecutionProof::NotRun == ended.proof);
 	cr_assert(0 == rig.context.sends && !rig.context.maybeRunning && 0 == rig.first.arrivals);
 }
 
--- a/tools/bench_cost.cpp
+++ b/tools/bench_cost.cpp
@@ -125,7 +125,7 @@
 				return timeUs(20'000, one);
 			}));
 			tables.push_back(slope("agent: one run through the queue (admit, take, end)", "organisations waiting", "us", {4, 16, 64, 128}, [](double _size) {
-				Admission admission;
+				AdmissionQueue admission;
 				admission.slots = 1;
 				admission.capacity = 100'000;
 				admission.meanRunMs = 0.001;
--- a/tools/bench_groups.cpp
+++ b/tools/bench_groups.cpp
@@ -58,7 +58,7 @@
 				for (const gateway::GroupRef& group : groups)
 				{
 					const double load = gateway::meanLoad(*group, 2);
-					candidates.push_back({GroupStanding::InTime, true, (load + 1.0) / 12.0, (12.0 - load) * double(group->working), double(group->workingInZone) / double(group->working), false});
+					candidates.push_back({GroupStatus::InTime, true, (load + 1.0) / 12.0, (12.0 - load) * double(group->working), double(group->workingInZone) / double(group->working), false});
 				}
 				_board.choose(*groups[*chooseGroup(candidates, random)], {}, random, 2);
 			}
@@ -73,8 +73,8 @@
 			std::vector<GroupCandidate> seen;
 			for (std::size_t group = 0; group < _groups; ++group)
 			{
-				const double fullness = 0.5 + 0.1 * double(randomBelow(random, 100)) / 100.0;
-				seen.push_back({GroupStanding::InTime, true, fullness, 100.0 * (1.0 - fullness), 0.0, false});
+				const double utilization = 0.5 + 0.1 * double(randomBelow(random, 100)) / 100.0;
+				seen.push_back({GroupStatus::InTime, true, utilization, 100.0 * (1.0 - utilization), 0.0, false});
 			}
 			std::vector<int> arrivals(_groups, 0);
 			const int requests = 40 * int(_groups);
@@ -113,7 +113,7 @@
 				{
 					drawn.push_back(herdOf(groups, std::uint64_t(seed), chooseGroup));
 					emptiest.push_back(herdOf(groups, std::uint64_t(seed), [](const std::vector<GroupCandidate>& _seen, Random&) {
-						return chooseEmptiestGroup(_seen);
+						return chooseLeastUtilizedGroup(_seen);
 					}));
 				}
 				table.rows.push_back({std::to_string(groups), show(spreadOf(drawn), 2), show(spreadOf(emptiest), 2)});
--- a/tools/bench_overload.cpp
+++ b/tools/bench_overload.cpp
@@ -110,7 +110,7 @@
 				}
 				else
 				{
-					const AdmitResult result = admitRun(this->fair, run, this->now);
+					const AdmissionResult result = admitRun(this->fair, run, this->now);
 					taken = RefusalReason::None == result.refusal;
 					retryAfter = result.retryAfterMs;
 					if (result.evicted)
@@ -218,7 +218,7 @@
 
 			const bool plain;
 			Random random;
-			Admission fair;
+			AdmissionQueue fair;
 			PlainQueue queue;
 			Millis now = 0;
 			std::uint64_t nextId = 0;
--- a/tools/bench_routing.cpp
+++ b/tools/bench_routing.cpp
@@ -42,7 +42,7 @@
 			std::vector<Job> running;
 			std::list<std::uint64_t> cache;
 			std::uint32_t reported = 0;
-			std::uint32_t sentSince = 0;
+			std::uint32_t sentSinceReport = 0;
 			bool stalled = false;
 		};
 
@@ -62,15 +62,15 @@
 			double arrived = 0.0;
 		};
 
-		using Choose = std::function<std::optional<std::size_t>(const std::vector<Candidate>&, std::uint64_t, Random&)>;
+		using Choose = std::function<std::optional<std::size_t>(const std::vector<AgentCandidate>&, std::uint64_t, Random&)>;
 
-		std::vector<Candidate> candidatesOf(const std::vector<Server>& _servers, std::uint32_t _zone, const Conditions& _conditions)
+		std::vector<AgentCandidate> candidatesOf(const std::vector<Server>& _servers, std::uint32_t _zone, const Conditions& _conditions)
 		{
-			std::vector<Candidate> candidates;
+			std::vector<AgentCandidate> candidates;
 			for (std::size_t index = 0; index < _servers.size(); ++index)
 			{
 				const bool own = _zone == index / kAgentsPerZone;
-				candidates.push_back({stableHash(std::to_string(index)), own || !_conditions.zoneCut, own, own ? 0.0 : 1.5, kSlots, _servers[index].reported, _servers[index].sentSince, kStepMs * kTokens});
+				candidates.push_back({stableHash(std::to_string(index)), own || !_conditions.zoneCut, own, own ? 0.0 : 1.5, kSlots, _servers[index].reported, _servers[index].sentSinceReport, kStepMs * kTokens});
 			}
 			return candidates;
 		}
@@ -135,7 +135,7 @@
 					for (Server& server : servers)
 					{
 						server.reported = std::uint32_t(server.waiting.size() + server.running.size());
-						server.sentSince = 0;
+						server.sentSinceReport = 0;
 					}
 				}
 				for (int arrival = arrivals(random); 0 < arrival; --arrival)
@@ -150,7 +150,7 @@
 						continue;
 					}
 					servers[*chosen].waiting.push_back({nowMs, prefix, kTokens, 0, true});
-					servers[*chosen].sentSince += 1;
+					servers[*chosen].sentSinceReport += 1;
 				}
 				for (Server& server : servers)
 				{
@@ -170,27 +170,27 @@
 		{
 			return {
 			    {"random", [] {
-				     return [](const std::vector<Candidate>& _c, std::uint64_t, Random& _r) {
+				     return [](const std::vector<AgentCandidate>& _c, std::uint64_t, Random& _r) {
 					     return chooseAtRandom(_c, _r);
 				     };
 			     }},
 			    {"round robin", [] {
-				     return [next = std::uint64_t(0)](const std::vector<Candidate>& _c, std::uint64_t, Random&) mutable {
+				     return [next = std::uint64_t(0)](const std::vector<AgentCandidate>& _c, std::uint64_t, Random&) mutable {
 					     return chooseRoundRobin(_c, next);
 				     };
 			     }},
 			    {"least reported", [] {
-				     return [](const std::vector<Candidate>& _c, std::uint64_t, Random&) {
+				     return [](const std::vector<AgentCandidate>& _c, std::uint64_t, Random&) {
 					     return chooseLeastReported(_c);
 				     };
 			     }},
 			    {"archdyke, no prefix", [] {
-				     return [](const std::vector<Candidate>& _c, std::uint64_t, Random& _r) {
+				     return [](const std::vector<AgentCandidate>& _c, std::uint64_t, Random& _r) {
 					     return chooseAgent(_c, std::nullopt, _r);
 				     };
 			     }},
 			    {"archdyke", [] {
-				     return [](const std::vector<Candidate>& _c, std::uint64_t _p, Random& _r) {
+				     return [](const std::vector<AgentCandidate>& _c, std::uint64_t _p, Random& _r) {
 					     return chooseAgent(_c, stableHash(std::to_string(_p)), _r);
 				     };
 			     }}};
@@ -231,7 +231,7 @@
 			std::vector<double> times;
 			for (const std::size_t count : {16u, 32u, 64u, 128u})
 			{
-				std::vector<Candidate> candidates;
+				std::vector<AgentCandidate> candidates;
 				for (std::size_t index = 0; index < count; ++index)
 				{
 					candidates.push_back({stableHash(std::to_string(index)), true, index % 4 != 0, 1.5, 16, std::uint32_t(index % 13), 0, 100.0});
