--- a/include/archdyke/forward_switch.h
+++ b/include/archdyke/forward_switch.h
@@ -106,63 +106,63 @@
 	};
 
 	/// What the coordinator does next.
-	struct SwitchStep
+	struct SwitchDecision
 	{
 		std::optional<SwitchIntent> next; ///< New state of the switch; none: unchanged.
 		bool store = false;               ///< `next` applies only once it is stored: write it, then decide again.
 		std::vector<RankOrderPlan> orders;
 		std::string_view reason; ///< For the log; set together with `next`.
 
-		bool operator==(const SwitchStep&) const = default;
+		bool operator==(const SwitchDecision&) const = default;
 	};
 
 	/// Conditions and limits for one decision.
-	struct SwitchPatience
+	struct SwitchConditions
 	{
 		std::uint64_t marginSteps = 2; ///< Between a boundary and the newest observed step.
 		bool giveUp = false;           ///< The current phase has exceeded its timeout.
 		/// All ranks reported recently. Once one rank is armed, the group stalls until every rank is armed.
 		bool allReachable = true;
 		/// Rank on the coordinator's VM. It isn't chosen for the hold, since both would freeze together.
-		std::optional<std::uint32_t> avoidedRank;
-		/// No rank can be armed: this coordinator wrote the boundary and sent no arm order. Set by withHistory.
-		bool nobodyArmed = false;
+		std::optional<std::uint32_t> coordinatorRank;
+		/// No rank can be armed: this coordinator wrote the boundary and sent no arm order. Set by applyHistory.
+		bool noRankArmed = false;
 
-		bool operator==(const SwitchPatience&) const = default;
+		bool operator==(const SwitchConditions&) const = default;
 	};
 
 	/// Identifies one boundary of one map version.
-	struct BoundaryMark
+	struct BoundaryId
 	{
 		std::uint64_t version = 0; ///< 0: none.
 		std::uint64_t step = 0;
 
-		auto operator<=>(const BoundaryMark&) const = default;
+		auto operator<=>(const BoundaryId&) const = default;
 	};
 
 	/// What a coordinator must remember about its switches in addition to the row.
 	struct SwitchHistory
 	{
-		BoundaryMark inherited;    ///< Found in the row when this coordinator took over.
-		BoundaryMark armed;        ///< Arm orders for it were sent.
-		BoundaryMark givenUp;      ///< A write that abandons it was sent and may take effect late.
+		BoundaryId inherited;      ///< Found in the row when this coordinator took over.
+		BoundaryId armed;          ///< Arm orders for it were sent.
+		BoundaryId abandonSent;    ///< A write that abandons it was sent and may take effect late.
 		std::uint64_t version = 0; ///< Highest version under which the map in force was prepared again.
 
 		auto operator<=>(const SwitchHistory&) const = default;
 	};
 
 	/// @returns The history of a coordinator that has just taken over the row.
-	SwitchHistory historyOf(const SwitchIntent& _row);
+	SwitchHistory initialHistory(const SwitchIntent& _row);
 
 	/// @returns The history after the coordinator has carried out a decision.
-	SwitchHistory withStep(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchStep& _step);
+	SwitchHistory historyAfter(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchDecision& _step);
 
 	/// @returns The conditions, restricted as the history requires.
-	SwitchPatience withHistory(const SwitchPatience& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history);
+	SwitchConditions applyHistory(const SwitchConditions& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history);
 
 	/// Decides how to continue an open switch.
 	/// @param[in] _ranks All ranks of the group, each observed after the row was read.
-	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions);
+	SwitchDecision decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions);
 
 	/// @returns Release orders for holds that belong to no open switch.
 	/// @param[in] _intent The row, read after the ranks were observed.
--- a/include/archdyke/map_policy.h
+++ b/include/archdyke/map_policy.h
@@ -19,12 +19,12 @@
 	constexpr double kCopyBudgetMs = 240.0;
 
 	/// Duration of the passes of a group, and its objective.
-	struct PassPressure
+	struct PassTiming
 	{
 		double passMs = 0.0;       ///< Mean of the last passes; 0 when unknown.
 		Millis gapObjectiveMs = 0; ///< Longest pause between events of a stream; 0 when none is declared.
 
-		bool operator==(const PassPressure&) const = default;
+		bool operator==(const PassTiming&) const = default;
 	};
 
 	/// A decision on the map of a group.
@@ -45,9 +45,9 @@
 	/// @param[in] _paces By rank, step time relative to the declared one; empty: all 1. All ranks wait for the
 	/// slowest, so a slow rank gets less load.
 	/// @param[in] _copyBudgetMs Maximum copying time of one rank.
-	MapDecision decideMap(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const PassPressure& _pressure, const std::vector<double>& _paces = {}, double _copyBudgetMs = kCopyBudgetMs);
+	MapDecision planMap(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const PassTiming& _pressure, const std::vector<double>& _paces = {}, double _copyBudgetMs = kCopyBudgetMs);
 
 	/// @returns The tolerated skew. It increases as passes get shorter relative to the objective, since copies have
 	/// a cost and passes within the objective bring no benefit by being shorter.
-	double toleratedSkew(const PassPressure& _pressure);
+	double toleratedSkew(const PassTiming& _pressure);
 } // namespace archdyke
--- a/include/archdyke/mapswitch.h
+++ b/include/archdyke/mapswitch.h
@@ -100,13 +100,13 @@
 	};
 
 	/// Processes a proposal from a planner or from the agent of another rank.
-	ProposalRefusal hearProposal(MapSwitch& _switch, const MapProposal& _proposal);
+	ProposalRefusal receiveProposal(MapSwitch& _switch, const MapProposal& _proposal);
 
 	/// Processes the state reported by the engine rank and derives the rank's own vote from it.
-	void hearRank(MapSwitch& _switch, const RankState& _rank);
+	void applyRankState(MapSwitch& _switch, const RankState& _rank);
 
 	/// Merges votes that another agent forwarded.
-	void hearVotes(MapSwitch& _switch, std::uint64_t _number, const std::vector<MapVote>& _votes);
+	void mergeVotes(MapSwitch& _switch, std::uint64_t _number, const std::vector<MapVote>& _votes);
 
 	/// @returns The outcome that the votes imply.
 	MapOutcome outcomeOf(const MapSwitch& _switch);
--- a/include/archdyke/placement.h
+++ b/include/archdyke/placement.h
@@ -21,13 +21,13 @@
 	struct PlacementInput
 	{
 		std::uint32_t ranks = 1;
-		std::uint32_t slots = 1;            ///< Experts of one layer that a rank can host.
-		ExpertHosts hosts;                  ///< Current hosts.
-		ExpertLoad load;                    ///< Expected load.
-		double budget = 0.0;                ///< Maximum number of experts to stage.
-		std::uint32_t arrivalsPerRank = 0;  ///< Maximum new experts of a rank over all layers; 0: unlimited.
-		std::uint32_t arrivalsPerLayer = 0; ///< Maximum new experts of a rank per layer; 0: unlimited.
-		std::vector<double> paces;          ///< By rank, step time relative to the usual one; empty: all 1.
+		std::uint32_t slots = 1;                 ///< Experts of one layer that a rank can host.
+		ExpertHosts hosts;                       ///< Current hosts.
+		ExpertLoad load;                         ///< Expected load.
+		double budget = 0.0;                     ///< Maximum number of experts to stage.
+		std::uint32_t maxNewExpertsPerRank = 0;  ///< Maximum new experts of a rank over all layers; 0: unlimited.
+		std::uint32_t maxNewExpertsPerLayer = 0; ///< Maximum new experts of a rank per layer; 0: unlimited.
+		std::vector<double> paces;               ///< By rank, step time relative to the usual one; empty: all 1.
 
 		bool operator==(const PlacementInput&) const = default;
 	};
@@ -53,16 +53,16 @@
 	PlacementPlan planMoves(const PlacementInput& _input, double _skewTolerance);
 
 	/// Baseline: places all experts from scratch, hottest experts first.
-	PlacementPlan planAnew(const PlacementInput& _input);
+	PlacementPlan planFromScratch(const PlacementInput& _input);
 
 	/// State of a planner for one group between windows.
 	struct PlacementState
 	{
 		ExpertLoad smoothed;    ///< Exponential moving mean of the load.
 		double allowance = 0.0; ///< Experts that may be staged; increases over time.
-		Millis grownAt = 0;
+		Millis allowanceUpdatedAt = 0;
 		bool started = false;
-		std::uint32_t windowsOver = 0; ///< Consecutive windows above the tolerance.
+		std::uint32_t windowsAboveTolerance = 0; ///< Consecutive windows above the tolerance.
 	};
 
 	/// Records the load of a window and decides whether to move experts.
@@ -75,7 +75,7 @@
 	std::optional<ExpertLoad> countsSince(const ExpertLoad& _before, const ExpertLoad& _now);
 
 	/// @returns Tokens in a window, mean over layers.
-	double tokensOf(const ExpertLoad& _window);
+	double meanTokensPerLayer(const ExpertLoad& _window);
 
 	/// @returns Number of experts that ranks must load to change from one map to another.
 	std::uint32_t countStaged(const ExpertHosts& _from, const ExpertHosts& _to);
--- a/include/archdyke/rank_search.h
+++ b/include/archdyke/rank_search.h
@@ -18,9 +18,9 @@
 	struct SearchCandidate
 	{
 		bool ownZone = false;
-		Millis askedAt = 0;     ///< Last poll; 0: never.
-		Millis elsewhereAt = 0; ///< Last report of being in another group; 0: never.
-		bool listed = true;     ///< It is still in the list of upstreams.
+		Millis askedAt = 0;      ///< Last poll; 0: never.
+		Millis otherGroupAt = 0; ///< Last report of being in another group; 0: never.
+		bool listed = true;      ///< It is still in the list of upstreams.
 
 		bool operator==(const SearchCandidate&) const = default;
 	};
@@ -36,5 +36,5 @@
 
 	/// @returns Indices of the candidates to poll now, own zone first; none once all ranks are found. Candidates that
 	/// reported another group are polled less often.
-	std::vector<std::size_t> searchRanks(const std::vector<SearchCandidate>& _candidates, const SearchProgress& _progress, Millis _now);
+	std::vector<std::size_t> selectCandidatesToPoll(const std::vector<SearchCandidate>& _candidates, const SearchProgress& _progress, Millis _now);
 } // namespace archdyke
--- a/include/archdyke/slow_rank.h
+++ b/include/archdyke/slow_rank.h
@@ -7,13 +7,13 @@
 namespace archdyke
 {
 	/// Timing of a rank and of its group.
-	struct RankSlowness
+	struct RankTiming
 	{
 		double pace = 1.0;         ///< Step time of the rank relative to the declared one.
 		double passMs = 0.0;       ///< Mean duration of the group's last passes; 0: unknown.
 		Millis gapObjectiveMs = 0; ///< Longest accepted pause between events; 0: none declared.
 
-		bool operator==(const RankSlowness&) const = default;
+		bool operator==(const RankTiming&) const = default;
 	};
 
 	/// @returns Whether a rank is so slow that new requests are sent to other ranks.
@@ -21,5 +21,5 @@
 
 	/// @returns Whether a stream that another rank can resume should move there: the rank is slow, and its group is
 	/// late already, so the move itself makes no further stream late.
-	bool shouldLeaveSlow(const RankSlowness& _rank);
+	bool shouldAbandonSlow(const RankTiming& _rank);
 } // namespace archdyke
--- a/src/agent/rank_control.cpp
+++ b/src/agent/rank_control.cpp
@@ -77,7 +77,7 @@
 	/// Reads the engine; its answer is the only source of this rank's vote.
 	void RankControl::refresh()
 	{
-		hearRank(this->known, this->engine.read(nullptr, nullptr, nullptr));
+		applyRankState(this->known, this->engine.read(nullptr, nullptr, nullptr));
 	}
 
 	/// An agent that starts anew finds an open proposal by what its engine is armed for.
@@ -91,11 +91,11 @@
 		}
 		const GroupProposal group = readContext(context);
 		this->known.rank = group.rank;
-		hearProposal(this->known, group.proposal);
+		receiveProposal(this->known, group.proposal);
 		this->peers = group.peers;
 		this->peerReleased.assign(this->peers.size(), false);
 		this->openedAt = nowMs();
-		hearRank(this->known, state);
+		applyRankState(this->known, state);
 		logInfo("map_recovered", {{"number", group.proposal.number}});
 	}
 
@@ -146,7 +146,7 @@
 		this->post([this, message = _message, done = std::move(_done)] {
 			const bool isNew = !this->known.proposal || message.group.proposal.number != this->known.proposal->number;
 			VoteReply reply;
-			reply.refusal = hearProposal(this->known, message.group.proposal);
+			reply.refusal = receiveProposal(this->known, message.group.proposal);
 			if (ProposalRefusal::None == reply.refusal)
 			{
 				if (isNew)
@@ -156,7 +156,7 @@
 					this->peerReleased.assign(this->peers.size(), false);
 					this->openedAt = nowMs();
 				}
-				hearVotes(this->known, message.group.proposal.number, message.votes);
+				mergeVotes(this->known, message.group.proposal.number, message.votes);
 				this->advance();
 			}
 			if (this->known.proposal)
@@ -180,7 +180,7 @@
 			for (int orders = 0; orders < 3; ++orders)
 			{
 				const RankState state = this->engine.read(nullptr, nullptr, nullptr);
-				hearRank(this->known, state);
+				applyRankState(this->known, state);
 				const RankOrder order = nextOrder(this->known, state);
 				if (RankOrder::None == order)
 				{
@@ -291,7 +291,7 @@
 		}
 		if (same)
 		{
-			hearVotes(this->known, _reply.theirs.group.proposal.number, _reply.theirs.votes);
+			mergeVotes(this->known, _reply.theirs.group.proposal.number, _reply.theirs.votes);
 			this->advance();
 		}
 	}
--- a/src/decide/forward_switch.cpp
+++ b/src/decide/forward_switch.cpp
@@ -45,12 +45,12 @@
 		}
 
 		/// @returns The row of a switch whose map all ranks have copied, with a boundary beyond the newest step.
-		SwitchIntent switchingRow(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+		SwitchIntent switchingRow(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 		{
 			SwitchIntent switching = _intent;
 			switching.phase = SwitchPhase::Switching;
 			switching.boundary = nextBoundary(_intent, _ranks, _conditions.marginSteps);
-			switching.last = _conditions.avoidedRank;
+			switching.last = _conditions.coordinatorRank;
 			return switching;
 		}
 
@@ -87,9 +87,9 @@
 			});
 		}
 
-		SwitchStep decidePreparing(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+		SwitchDecision decidePreparing(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 		{
-			SwitchStep step;
+			SwitchDecision step;
 			const auto isPrepared = [&](const RankView& _rank) {
 				return _rank.seen && _rank.epoch == _intent.epoch && _rank.prepared == _intent.version;
 			};
@@ -117,11 +117,11 @@
 		}
 
 		/// Orders the first eligible rank to hold the group.
-		std::vector<RankOrderPlan> holdAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+		std::vector<RankOrderPlan> holdAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 		{
 			for (std::uint32_t rank = 0; rank < _ranks.size(); ++rank)
 			{
-				const bool avoided = rank == _conditions.avoidedRank && 1 < _ranks.size();
+				const bool avoided = rank == _conditions.coordinatorRank && 1 < _ranks.size();
 				if (_ranks[rank].seen && !_ranks[rank].held && !avoided)
 				{
 					return {{rank, RankOrderKind::Hold, _intent.epoch, 0, _intent.boundary}};
@@ -131,12 +131,12 @@
 		}
 
 		/// Continues a row of an earlier release, which arms no rank before it has stored Switching.
-		SwitchStep decideHolding(const SwitchIntent& _intent, const SwitchPatience& _conditions)
+		SwitchDecision decideHolding(const SwitchIntent& _intent, const SwitchConditions& _conditions)
 		{
-			SwitchStep step;
+			SwitchDecision step;
 			step.next = _conditions.giveUp ? abandonedRow(_intent) : _intent;
 			step.next->phase = _conditions.giveUp ? SwitchPhase::Idle : SwitchPhase::Switching;
-			step.next->last = _conditions.giveUp ? std::nullopt : _conditions.avoidedRank;
+			step.next->last = _conditions.giveUp ? std::nullopt : _conditions.coordinatorRank;
 			step.store = true;
 			step.reason = _conditions.giveUp ? "holding_took_too_long" : "holding_carried_on";
 			return step;
@@ -211,7 +211,7 @@
 		/// Voids a switch whose last rank can't be armed, then abandons it.
 		/// @returns None when the switch can continue, or when voiding hasn't started and a rank other than the last
 		/// is unseen or armed.
-		std::optional<SwitchStep> voidSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+		std::optional<SwitchDecision> voidSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 		{
 			const std::vector<std::uint32_t> others = othersThanLast(_intent, _ranks);
 			const auto countOthers = [&](auto _predicate) {
@@ -228,7 +228,7 @@
 			{
 				return std::nullopt;
 			}
-			SwitchStep step;
+			SwitchDecision step;
 			if (others.size() == voided)
 			{
 				step.next = abandonedRow(_intent);
@@ -252,7 +252,7 @@
 		}
 
 		/// @returns Orders that let the group reach the boundary either held or with all ranks armed.
-		std::vector<RankOrderPlan> ordersAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+		std::vector<RankOrderPlan> ordersAtBoundary(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 		{
 			const bool allSeen = allRanks(_ranks, [](const RankView& _rank) {
 				return _rank.seen;
@@ -274,9 +274,9 @@
 			return shouldHold ? holdAtBoundary(_intent, _ranks, _conditions) : std::vector<RankOrderPlan>();
 		}
 
-		SwitchStep decideSwitching(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+		SwitchDecision decideSwitching(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 		{
-			SwitchStep step;
+			SwitchDecision step;
 			const bool onMap = allRanks(_ranks, [&](const RankView& _rank) {
 				return isOnMap(_rank, _intent);
 			});
@@ -290,7 +290,7 @@
 			const bool prepared = allRanks(_ranks, [&](const RankView& _rank) {
 				return _rank.prepared == _intent.version;
 			});
-			const bool abandons = passed ? _conditions.giveUp || !prepared : _conditions.giveUp && _conditions.nobodyArmed;
+			const bool abandons = passed ? _conditions.giveUp || !prepared : _conditions.giveUp && _conditions.noRankArmed;
 			if (abandons || passed)
 			{
 				step.next = abandons ? abandonedRow(_intent) : switchingRow(_intent, _ranks, _conditions);
@@ -335,7 +335,7 @@
 		}
 	}
 
-	SwitchStep decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchPatience& _conditions)
+	SwitchDecision decideSwitch(const SwitchIntent& _intent, const std::vector<RankView>& _ranks, const SwitchConditions& _conditions)
 	{
 		if (SwitchPhase::Idle != _intent.phase && epochIsOver(_intent, _ranks))
 		{
--- a/src/decide/map_policy.cpp
+++ b/src/decide/map_policy.cpp
@@ -27,7 +27,7 @@
 		constexpr double kMaxCopiesPerRank = 6.0;
 	} // namespace
 
-	double toleratedSkew(const PassPressure& _pressure)
+	double toleratedSkew(const PassTiming& _pressure)
 	{
 		if (_pressure.passMs <= 0.0 || _pressure.gapObjectiveMs <= 0)
 		{
@@ -37,7 +37,7 @@
 		return kMaxToleratedSkew + share * (kSkewTolerance - kMaxToleratedSkew);
 	}
 
-	MapDecision decideMap(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const PassPressure& _pressure, const std::vector<double>& _paces, double _copyBudgetMs)
+	MapDecision planMap(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const PassTiming& _pressure, const std::vector<double>& _paces, double _copyBudgetMs)
 	{
 		PlacementInput input;
 		input.ranks = _ranks;
@@ -46,11 +46,11 @@
 		input.load = _load;
 		input.paces = _paces;
 		input.budget = kMaxCopiesPerRank * double(_ranks);
-		input.arrivalsPerLayer = _model.spare;
-		input.arrivalsPerRank = 0.0 < _model.expertCopyMs ? std::max<std::uint32_t>(1, std::uint32_t(_copyBudgetMs / _model.expertCopyMs)) : 0;
+		input.maxNewExpertsPerLayer = _model.spare;
+		input.maxNewExpertsPerRank = 0.0 < _model.expertCopyMs ? std::max<std::uint32_t>(1, std::uint32_t(_copyBudgetMs / _model.expertCopyMs)) : 0;
 		MapDecision decision;
 		decision.skewBefore = skewOf(_hosts, _load, _ranks, _paces);
-		if (decision.skewBefore < toleratedSkew(_pressure) || tokensOf(_load) <= 0.0)
+		if (decision.skewBefore < toleratedSkew(_pressure) || meanTokensPerLayer(_load) <= 0.0)
 		{
 			return decision;
 		}
--- a/src/decide/map_window.cpp
+++ b/src/decide/map_window.cpp
@@ -22,7 +22,7 @@
 		return choices;
 	}
 
-	void addPiece(ChoiceWindow& _window, ChoicePiece _piece, Millis _windowMs)
+	void addChoiceSample(ChoiceWindow& _window, ChoiceSample _piece, Millis _windowMs)
 	{
 		const bool differentShape = !_window.pieces.empty() && (_window.pieces.back().epoch != _piece.epoch || _window.pieces.back().choices.size() != _piece.choices.size());
 		if (differentShape)
@@ -46,7 +46,7 @@
 		const Millis newest = _window.pieces.back().to;
 		Millis oldest = newest;
 		ExpertLoad load((_window.pieces.front().choices.size() + _experts - 1) / _experts, std::vector<double>(_experts, 0.0));
-		for (const ChoicePiece& piece : _window.pieces)
+		for (const ChoiceSample& piece : _window.pieces)
 		{
 			oldest = std::min(oldest, piece.from);
 			for (std::size_t index = 0; index < piece.choices.size(); ++index)
@@ -57,7 +57,7 @@
 		return newest - oldest < _windowMs ? std::nullopt : std::optional(load);
 	}
 
-	ExpertHosts dealtInTurn(std::uint32_t _sets, std::uint32_t _experts, std::uint32_t _ranks)
+	ExpertHosts roundRobinMap(std::uint32_t _sets, std::uint32_t _experts, std::uint32_t _ranks)
 	{
 		std::vector<std::vector<std::uint32_t>> set;
 		for (std::uint32_t expert = 0; expert < _experts; ++expert)
--- a/src/decide/mapswitch.cpp
+++ b/src/decide/mapswitch.cpp
@@ -41,7 +41,7 @@
 		}
 	}
 
-	ProposalRefusal hearProposal(MapSwitch& _switch, const MapProposal& _proposal)
+	ProposalRefusal receiveProposal(MapSwitch& _switch, const MapProposal& _proposal)
 	{
 		if (_switch.proposal && _proposal.number == _switch.proposal->number)
 		{
@@ -66,7 +66,7 @@
 		return ProposalRefusal::None;
 	}
 
-	void hearRank(MapSwitch& _switch, const RankState& _rank)
+	void applyRankState(MapSwitch& _switch, const RankState& _rank)
 	{
 		if (!_switch.proposal)
 		{
@@ -86,7 +86,7 @@
 		_switch.released = MapVote::None != vote && notArmed;
 	}
 
-	void hearVotes(MapSwitch& _switch, std::uint64_t _number, const std::vector<MapVote>& _votes)
+	void mergeVotes(MapSwitch& _switch, std::uint64_t _number, const std::vector<MapVote>& _votes)
 	{
 		if (!_switch.proposal || _number != _switch.proposal->number)
 		{
--- a/src/decide/placement.cpp
+++ b/src/decide/placement.cpp
@@ -149,7 +149,7 @@
 		std::vector<Layer> layers;
 		std::vector<Move> bestMoves;
 		Totals totals;
-		NewExpertLimits limits{_input.arrivalsPerRank, _input.arrivalsPerLayer, std::vector<std::uint32_t>(_input.ranks, 0)};
+		NewExpertLimits limits{_input.maxNewExpertsPerRank, _input.maxNewExpertsPerLayer, std::vector<std::uint32_t>(_input.ranks, 0)};
 		const bool limited = 0 < limits.perRank || 0 < limits.perLayer;
 		for (std::size_t index = 0; index < _input.hosts.size(); ++index)
 		{
@@ -203,7 +203,7 @@
 		return plan;
 	}
 
-	PlacementPlan planAnew(const PlacementInput& _input)
+	PlacementPlan planFromScratch(const PlacementInput& _input)
 	{
 		PlacementPlan plan;
 		plan.skewBefore = skewOf(_input.hosts, _input.load, _input.ranks);
--- a/src/decide/placement_window.cpp
+++ b/src/decide/placement_window.cpp
@@ -39,9 +39,9 @@
 		void growAllowance(PlacementState& _state, const PlacementPolicy& _policy, Millis _now)
 		{
 			const double maxAllowance = _policy.expertsPerMinute * kMaxAllowanceMinutes;
-			const double earned = _state.started ? _policy.expertsPerMinute * double(_now - _state.grownAt) / kMsPerMinute : maxAllowance;
+			const double earned = _state.started ? _policy.expertsPerMinute * double(_now - _state.allowanceUpdatedAt) / kMsPerMinute : maxAllowance;
 			_state.allowance = std::min(maxAllowance, _state.allowance + earned);
-			_state.grownAt = _now;
+			_state.allowanceUpdatedAt = _now;
 			_state.started = true;
 		}
 	} // namespace
@@ -56,8 +56,8 @@
 		_input.budget = _state.allowance;
 		PlacementPlan keep{_input.hosts, 0, 0.0, 0.0};
 		keep.skewBefore = keep.skewAfter = skewOf(_input.hosts, _input.load, _input.ranks);
-		_state.windowsOver = keep.skewBefore > _policy.skewTolerance ? _state.windowsOver + 1 : 0;
-		if (!urgent && _state.windowsOver < kWindowsBeforeMove)
+		_state.windowsAboveTolerance = keep.skewBefore > _policy.skewTolerance ? _state.windowsAboveTolerance + 1 : 0;
+		if (!urgent && _state.windowsAboveTolerance < kWindowsBeforeMove)
 		{
 			return keep;
 		}
@@ -91,7 +91,7 @@
 		return result;
 	}
 
-	double tokensOf(const ExpertLoad& _window)
+	double meanTokensPerLayer(const ExpertLoad& _window)
 	{
 		double total = 0.0;
 		for (const std::vector<double>& layer : _window)
--- a/src/decide/rank_search.cpp
+++ b/src/decide/rank_search.cpp
@@ -18,7 +18,7 @@
 
 		bool isDue(const SearchCandidate& _candidate, Millis _now)
 		{
-			if (0 != _candidate.elsewhereAt && _now - _candidate.elsewhereAt < kOtherGroupIntervalMs)
+			if (0 != _candidate.otherGroupAt && _now - _candidate.otherGroupAt < kOtherGroupIntervalMs)
 			{
 				return false;
 			}
@@ -27,7 +27,7 @@
 		}
 	} // namespace
 
-	std::vector<std::size_t> searchRanks(const std::vector<SearchCandidate>& _candidates, const SearchProgress& _progress, Millis _now)
+	std::vector<std::size_t> selectCandidatesToPoll(const std::vector<SearchCandidate>& _candidates, const SearchProgress& _progress, Millis _now)
 	{
 		std::vector<std::size_t> due;
 		if (0 != _progress.ranks && _progress.ranks <= _progress.found)
@@ -44,7 +44,7 @@
 		// Candidates without a report first, then by distance; among equals the least recently polled first.
 		const auto order = [&](std::size_t _index) {
 			const SearchCandidate& candidate = _candidates[_index];
-			return std::tuple(0 != candidate.elsewhereAt, !candidate.ownZone, candidate.askedAt);
+			return std::tuple(0 != candidate.otherGroupAt, !candidate.ownZone, candidate.askedAt);
 		};
 		std::stable_sort(due.begin(), due.end(), [&](std::size_t _a, std::size_t _b) {
 			return order(_a) < order(_b);
--- a/src/decide/slow_rank.cpp
+++ b/src/decide/slow_rank.cpp
@@ -14,7 +14,7 @@
 		return kSlowPace <= _pace;
 	}
 
-	bool shouldLeaveSlow(const RankSlowness& _rank)
+	bool shouldAbandonSlow(const RankTiming& _rank)
 	{
 		const bool isLate = 0 < _rank.gapObjectiveMs && double(_rank.gapObjectiveMs) < _rank.passMs;
 		return isLate && isSlow(_rank.pace);
--- a/src/decide/switch_history.cpp
+++ b/src/decide/switch_history.cpp
@@ -7,20 +7,20 @@
 {
 	namespace
 	{
-		BoundaryMark boundaryIdOf(const SwitchIntent& _intent)
+		BoundaryId boundaryIdOf(const SwitchIntent& _intent)
 		{
 			return {_intent.version, _intent.boundary};
 		}
 	} // namespace
 
-	SwitchHistory historyOf(const SwitchIntent& _row)
+	SwitchHistory initialHistory(const SwitchIntent& _row)
 	{
 		SwitchHistory history;
-		history.inherited = SwitchPhase::Switching == _row.phase ? boundaryIdOf(_row) : BoundaryMark();
+		history.inherited = SwitchPhase::Switching == _row.phase ? boundaryIdOf(_row) : BoundaryId();
 		return history;
 	}
 
-	SwitchHistory withStep(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchStep& _step)
+	SwitchHistory historyAfter(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchDecision& _step)
 	{
 		SwitchHistory history = _history;
 		const bool sendsArm = std::any_of(_step.orders.begin(), _step.orders.end(), [](const RankOrderPlan& _order) {
@@ -33,17 +33,17 @@
 			history.version = preparesAgain ? std::max(history.version, order.version) : history.version;
 		}
 		const bool abandons = _step.next && _step.store && SwitchPhase::Idle == _step.next->phase;
-		history.givenUp = abandons ? boundaryIdOf(_intent) : history.givenUp;
+		history.abandonSent = abandons ? boundaryIdOf(_intent) : history.abandonSent;
 		return history;
 	}
 
-	SwitchPatience withHistory(const SwitchPatience& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history)
+	SwitchConditions applyHistory(const SwitchConditions& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history)
 	{
-		SwitchPatience conditions = _conditions;
-		const BoundaryMark boundaryId = boundaryIdOf(_intent);
+		SwitchConditions conditions = _conditions;
+		const BoundaryId boundaryId = boundaryIdOf(_intent);
 		const bool switching = SwitchPhase::Switching == _intent.phase;
-		conditions.nobodyArmed = switching && boundaryId != _history.inherited && boundaryId != _history.armed;
-		conditions.giveUp = conditions.giveUp || (switching && boundaryId == _history.givenUp);
+		conditions.noRankArmed = switching && boundaryId != _history.inherited && boundaryId != _history.armed;
+		conditions.giveUp = conditions.giveUp || (switching && boundaryId == _history.abandonSent);
 		return conditions;
 	}
 
--- a/src/decide/switch_row.cpp
+++ b/src/decide/switch_row.cpp
@@ -64,7 +64,7 @@
 		/// @returns The initial map with the dimensions of _hosts; most maps differ little from it.
 		ExpertHosts initialMapLike(const ExpertHosts& _hosts, std::uint64_t _ranks)
 		{
-			return _hosts.empty() || 0 == _ranks ? ExpertHosts() : dealtInTurn(std::uint32_t(_hosts.size()), std::uint32_t(_hosts.front().size()), std::uint32_t(_ranks));
+			return _hosts.empty() || 0 == _ranks ? ExpertHosts() : roundRobinMap(std::uint32_t(_hosts.size()), std::uint32_t(_hosts.front().size()), std::uint32_t(_ranks));
 		}
 
 		/// @returns Highest rank in a map plus 1; 0 for an empty map.
--- a/src/decide/switch_worth.cpp
+++ b/src/decide/switch_worth.cpp
@@ -62,7 +62,7 @@
 			double gapMs = 0.0;
 			double spreadMs = 0.0; ///< Standard deviation of the pass duration.
 			double events = 1.0;   ///< Passes per stream.
-			double waiting = 0.0;  ///< See GroupPressure.
+			double waiting = 0.0;  ///< See GroupLoad.
 			double passMs = 0.0;   ///< Current mean.
 		};
 
@@ -110,7 +110,7 @@
 			return 0.0 < now ? full / now : 1.0;
 		}
 
-		StreamModel streamModelOf(const EngineModel& _model, const GroupPressure& _group)
+		StreamModel streamModelOf(const EngineModel& _model, const GroupLoad& _group)
 		{
 			StreamModel streams;
 			streams.gapMs = double(_group.passes.gapObjectiveMs);
@@ -156,20 +156,20 @@
 		}
 
 		/// @returns Whether another plan may be tracked.
-		bool isTrackingDue(const SavingRecord& _record, Millis _now)
+		bool isTrackingDue(const SavingStats& _record, Millis _now)
 		{
 			return _record.trackedPlans.empty() || _now - _record.trackedPlans.back().at >= kMinTrackingIntervalMs;
 		}
 
 		/// @returns Saving minus cost, ms of full service.
-		double netGain(const SwitchWorth& _worth)
+		double netGain(const SwitchEstimate& _worth)
 		{
 			return _worth.savedMs - _worth.costMs;
 		}
 
-		bool pays(const SwitchWorth& _worth, const GroupPressure& _group)
+		bool pays(const SwitchEstimate& _worth, const GroupLoad& _group)
 		{
-			const bool isHarmless = _worth.madeLate < kMaxHarmlessLateShare && _group.waiting < kMaxHarmlessQueuedShare;
+			const bool isHarmless = _worth.lateStreamProbability < kMaxHarmlessLateShare && _group.waiting < kMaxHarmlessQueuedShare;
 			return isHarmless || netGain(_worth) > kMinGainShare * _worth.expectedMs;
 		}
 
@@ -179,16 +179,16 @@
 			const EngineModel& model;
 			std::uint32_t ranks = 0;
 			const ExpertHosts& hosts;
-			const GroupPressure& group;
-			const SavingRecord& record;
-			SwitchTimes times;
+			const GroupLoad& group;
+			const SavingStats& record;
+			SwitchDurations times;
 		};
 
 		/// Prefers the large switch if both are about equal, since a small one may require another switch.
 		bool isClearlyBetter(const SwitchChoice& _small, const SwitchChoice& _large)
 		{
-			const bool onlySmallPays = SwitchDoubt::None != _large.doubt && SwitchDoubt::None == _small.doubt;
-			const bool notOnlyLargePays = SwitchDoubt::None != _large.doubt || SwitchDoubt::None == _small.doubt;
+			const bool onlySmallPays = SwitchRejection::None != _large.doubt && SwitchRejection::None == _small.doubt;
+			const bool notOnlyLargePays = SwitchRejection::None != _large.doubt || SwitchRejection::None == _small.doubt;
 			return onlySmallPays || (notOnlyLargePays && netGain(_small.worth) > netGain(_large.worth) + kMinAdvantageShare * _small.worth.expectedMs);
 		}
 
@@ -212,23 +212,23 @@
 		SwitchChoice estimate(const EstimateInputs& _inputs, MapDecision _plan)
 		{
 			const double copyMs = _plan.hosts.empty() ? 0.0 : _inputs.model.expertCopyMs * maxCopiesPerRank(_inputs.hosts, _plan.hosts, _inputs.ranks);
-			const SwitchWorth worth = worthOf(_inputs.model, _inputs.group, _plan, copyMs, _inputs.record, _inputs.times);
-			return {pays(worth, _inputs.group) ? SwitchDoubt::None : SwitchDoubt::CostsMore, std::move(_plan), worth};
+			const SwitchEstimate worth = estimateSwitch(_inputs.model, _inputs.group, _plan, copyMs, _inputs.record, _inputs.times);
+			return {pays(worth, _inputs.group) ? SwitchRejection::None : SwitchRejection::CostsMore, std::move(_plan), worth};
 		}
 	} // namespace
 
-	bool isWeighed(const EngineModel& _model, Millis _gapObjectiveMs)
+	bool usesEstimate(const EngineModel& _model, Millis _gapObjectiveMs)
 	{
 		return 0 < _gapObjectiveMs && 0.0 < _model.expertShare && _model.expertCopyMs >= kMinCopyShare * double(_gapObjectiveMs);
 	}
 
-	std::string_view toString(SwitchDoubt _doubt)
+	std::string_view toString(SwitchRejection _doubt)
 	{
-		constexpr std::array<std::string_view, std::size_t(SwitchDoubt::Count)> kNames{"none", "little_skew", "no_better_map", "costs_more", "none_pays"};
+		constexpr std::array<std::string_view, std::size_t(SwitchRejection::Count)> kNames{"none", "little_skew", "no_better_map", "costs_more", "none_pays"};
 		return kNames[std::size_t(_doubt)];
 	}
 
-	void addTrial(SavingRecord& _record, const ExpertHosts& _before, const MapDecision& _plan, Millis _now)
+	void trackPlan(SavingStats& _record, const ExpertHosts& _before, const MapDecision& _plan, Millis _now)
 	{
 		const double planned = _plan.skewBefore - _plan.skewAfter;
 		if (isTrackingDue(_record, _now) && 0.0 < planned && !_plan.hosts.empty())
@@ -237,15 +237,15 @@
 		}
 	}
 
-	void takeCounts(SavingRecord& _record, const ExpertLoad& _load, std::uint32_t _ranks, const std::vector<double>& _paces, Millis _now)
+	void evaluateTrackedPlans(SavingStats& _record, const ExpertLoad& _load, std::uint32_t _ranks, const std::vector<double>& _paces, Millis _now)
 	{
-		for (PlanTrial& tracked : _record.trackedPlans)
+		for (TrackedPlan& tracked : _record.trackedPlans)
 		{
 			const bool sameShape = hasDimensions(tracked.before, _load, _ranks) && hasDimensions(tracked.after, _load, _ranks);
-			while (tracked.nextAge < kSavingAges.size() && tracked.at + kSavingAges[tracked.nextAge] <= _now)
+			while (tracked.nextAge < kPlanAgesMs.size() && tracked.at + kPlanAgesMs[tracked.nextAge] <= _now)
 			{
 				const std::size_t age = tracked.nextAge++;
-				const bool missed = age + 1 < kSavingAges.size() && tracked.at + kSavingAges[age + 1] <= _now;
+				const bool missed = age + 1 < kPlanAgesMs.size() && tracked.at + kPlanAgesMs[age + 1] <= _now;
 				if (missed || !sameShape)
 				{
 					continue; // no counts arrived in time; the current ones belong to a later age
@@ -255,20 +255,20 @@
 				_record.saved[age] = kTrackedPlanDecay * _record.saved[age] + std::min(saved, tracked.planned);
 			}
 		}
-		while (!_record.trackedPlans.empty() && kSavingAges.size() <= _record.trackedPlans.front().nextAge)
+		while (!_record.trackedPlans.empty() && kPlanAgesMs.size() <= _record.trackedPlans.front().nextAge)
 		{
 			_record.trackedPlans.pop_front();
 		}
 	}
 
-	SavingOutlook outlookOf(const SavingRecord& _record, double _streamMs, double _delayMs)
+	SavingForecast forecastSaving(const SavingStats& _record, double _streamMs, double _delayMs)
 	{
-		SavingOutlook outlook;
+		SavingForecast outlook;
 		double whole = 0.0;
 		double from = 0.0;
-		for (std::size_t age = 0; age < kSavingAges.size(); ++age)
+		for (std::size_t age = 0; age < kPlanAgesMs.size(); ++age)
 		{
-			const double until = double(kSavingAges[age]);
+			const double until = double(kPlanAgesMs[age]);
 			const double initial = 0.0 < _streamMs ? std::exp(-until / (kDemandStreamDurations * _streamMs)) : 0.0;
 			const double share = std::max(0.0, (_record.saved[age] + kInitialWeight * initial) / (_record.planned[age] + kInitialWeight));
 			const double span = std::max(0.0, until - std::max(from, _delayMs));
@@ -280,10 +280,10 @@
 		return outlook;
 	}
 
-	SwitchTimes expectedTimes(const EngineModel& _model, const SwitchRecord& _record, Millis _now)
+	SwitchDurations expectedDurations(const EngineModel& _model, const SwitchDurationStats& _record, Millis _now)
 	{
 		const double fullPassMs = double(_model.stride) * (_model.stepMs + _model.perSequenceMs * double(_model.slots));
-		const SwitchTimes initial{kInitialStallPasses * fullPassMs, kInitialOverheadPasses * fullPassMs};
+		const SwitchDurations initial{kInitialStallPasses * fullPassMs, kInitialOverheadPasses * fullPassMs};
 		if (0 == _record.seenAt)
 		{
 			return initial;
@@ -292,28 +292,28 @@
 		return {initial.stoodMs + kept * (_record.mean.stoodMs - initial.stoodMs), initial.overheadMs + kept * (_record.mean.overheadMs - initial.overheadMs)};
 	}
 
-	void noteSwitch(const EngineModel& _model, SwitchRecord& _record, const SwitchTimes& _seen, Millis _now)
+	void recordSwitch(const EngineModel& _model, SwitchDurationStats& _record, const SwitchDurations& _seen, Millis _now)
 	{
-		const SwitchTimes expected = expectedTimes(_model, _record, _now);
+		const SwitchDurations expected = expectedDurations(_model, _record, _now);
 		_record.mean.stoodMs = expected.stoodMs + kSwitchWeight * (_seen.stoodMs - expected.stoodMs);
 		_record.mean.overheadMs = expected.overheadMs + kSwitchWeight * (_seen.overheadMs - expected.overheadMs);
 		_record.seenAt = _now;
 	}
 
-	SwitchWorth worthOf(const EngineModel& _model, const GroupPressure& _group, const MapDecision& _plan, double _copyMs, const SavingRecord& _record, const SwitchTimes& _times)
+	SwitchEstimate estimateSwitch(const EngineModel& _model, const GroupLoad& _group, const MapDecision& _plan, double _copyMs, const SavingStats& _record, const SwitchDurations& _times)
 	{
 		const StreamModel streams = streamModelOf(_model, _group);
 		const double passMs = streams.passMs;
 		const double stoodMs = _times.stoodMs;
-		SavingOutlook outlook = outlookOf(_record, streams.events * passMs, _copyMs + _times.overheadMs);
+		SavingForecast outlook = forecastSaving(_record, streams.events * passMs, _copyMs + _times.overheadMs);
 		outlook.lastsMs = _group.leaving ? std::min(outlook.lastsMs, kDrainingMapMs) : outlook.lastsMs;
 		const double saved = outlook.keptShare * (_plan.skewBefore - _plan.skewAfter);
-		SwitchWorth worth;
+		SwitchEstimate worth;
 		worth.keptShare = outlook.keptShare;
 		worth.expectedMs = outlook.lastsMs;
 		worth.copyMs = _copyMs;
 		const double copyingMs = kCopyingFactor * passMs;
-		worth.madeLate = 1.0 - (1.0 - lateProbability(streams, passMs + stoodMs)) * std::pow(1.0 - lateProbability(streams, copyingMs), std::min(streams.events, _copyMs / copyingMs));
+		worth.lateStreamProbability = 1.0 - (1.0 - lateProbability(streams, passMs + stoodMs)) * std::pow(1.0 - lateProbability(streams, copyingMs), std::min(streams.events, _copyMs / copyingMs));
 		// The slots may fill up while the switch is in progress, so that case is estimated too.
 		const double fullMs = passMs * fullPassRatio(_model, _group.active);
 		worth.savedMs = std::max(savingWithPass(streams, passMs, _model.expertShare, _plan.skewBefore, saved, outlook.lastsMs), savingWithPass(streams, fullMs, _model.expertShare, _plan.skewBefore, saved, outlook.lastsMs));
@@ -321,11 +321,11 @@
 		return worth;
 	}
 
-	SwitchChoice chooseSwitch(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const GroupPressure& _group, const std::vector<double>& _paces, const SwitchRecord& _switches, SavingRecord& _record, Millis _now)
+	SwitchChoice chooseSwitch(const EngineModel& _model, std::uint32_t _ranks, const ExpertHosts& _hosts, const ExpertLoad& _load, const GroupLoad& _group, const std::vector<double>& _paces, const SwitchDurationStats& _switches, SavingStats& _record, Millis _now)
 	{
-		takeCounts(_record, _load, _ranks, _paces, _now);
-		const EstimateInputs inputs{_model, _ranks, _hosts, _group, _record, expectedTimes(_model, _switches, _now)};
-		const bool useEstimate = isWeighed(_model, _group.passes.gapObjectiveMs) && 0.0 < _group.passes.passMs;
+		evaluateTrackedPlans(_record, _load, _ranks, _paces, _now);
+		const EstimateInputs inputs{_model, _ranks, _hosts, _group, _record, expectedDurations(_model, _switches, _now)};
+		const bool useEstimate = usesEstimate(_model, _group.passes.gapObjectiveMs) && 0.0 < _group.passes.passMs;
 		SwitchChoice choice;
 		choice.plan.skewBefore = skewOf(_hosts, _load, _ranks, _paces);
 		if (choice.plan.skewBefore < toleratedSkew(_group.passes))
@@ -336,21 +336,21 @@
 		{
 			// Skips planning if not even a map without skew and without copies would pay off.
 			const SwitchChoice ideal = estimate(inputs, choice.plan);
-			if (SwitchDoubt::None != ideal.doubt)
+			if (SwitchRejection::None != ideal.doubt)
 			{
-				choice.doubt = SwitchDoubt::NonePays;
+				choice.doubt = SwitchRejection::NonePays;
 				return choice;
 			}
 		}
-		choice.plan = decideMap(_model, _ranks, _hosts, _load, _group.passes, _paces);
-		choice.doubt = choice.plan.worthwhile ? SwitchDoubt::None : SwitchDoubt::NoBetterMap;
+		choice.plan = planMap(_model, _ranks, _hosts, _load, _group.passes, _paces);
+		choice.doubt = choice.plan.worthwhile ? SwitchRejection::None : SwitchRejection::NoBetterMap;
 		if (!choice.plan.worthwhile || !useEstimate)
 		{
 			return choice;
 		}
-		addTrial(_record, _hosts, choice.plan, _now);
+		trackPlan(_record, _hosts, choice.plan, _now);
 		choice = estimate(inputs, std::move(choice.plan));
-		MapDecision small = decideMap(_model, _ranks, _hosts, _load, _group.passes, _paces, kSmallCopyBudgetShare * kCopyBudgetMs);
+		MapDecision small = planMap(_model, _ranks, _hosts, _load, _group.passes, _paces, kSmallCopyBudgetShare * kCopyBudgetMs);
 		if (!small.worthwhile || choice.plan.copies <= small.copies)
 		{
 			return choice;
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -311,7 +311,7 @@
 		const ExpertLoad counts = sumCounts(ranks);
 		const std::optional<ExpertLoad> window = countsSince(memory.lastCounts, counts);
 		memory.lastCounts = counts;
-		if (pending || !window || tokensOf(*window) < kLeastTokens)
+		if (pending || !window || meanTokensPerLayer(*window) < kLeastTokens)
 		{
 			return;
 		}
--- a/src/gateway/relay.cpp
+++ b/src/gateway/relay.cpp
@@ -193,7 +193,7 @@
 			const Upstream& upstream = *_context.currentUpstream;
 			GatewayState& state = _context.state;
 			const double passMs = isKnown(*upstream.group, _now) ? upstream.group->view.passMs : 0.0;
-			return shouldLeaveSlow({paceOf(upstream, _now), passMs, _context.route->gapObjectiveMs}) && hasSpareResend(state.retries[_context.service], retryBounds(state), _now);
+			return shouldAbandonSlow({paceOf(upstream, _now), passMs, _context.route->gapObjectiveMs}) && hasSpareResend(state.retries[_context.service], retryBounds(state), _now);
 		}
 
 		/// Waits until a repeatable request should leave its upstream: when the upstream is silent while others
--- a/src/group/coordinator.cpp
+++ b/src/group/coordinator.cpp
@@ -64,7 +64,7 @@
 	    : parts(std::move(_parts))
 	    , group(std::move(_group))
 	    , intent(std::move(_row))
-	    , history(historyOf(this->intent))
+	    , history(initialHistory(this->intent))
 	    , rowVersion(_rowVersion)
 	    , rowReadAt(nowMs())
 	    , phaseSince(nowMs())
@@ -149,7 +149,7 @@
 		const std::uint64_t map = _ranks.front().map;
 		if (0 == map)
 		{
-			return dealtInTurn(this->model->sets, this->model->experts, std::uint32_t(_ranks.size()));
+			return roundRobinMap(this->model->sets, this->model->experts, std::uint32_t(_ranks.size()));
 		}
 		return map == this->intent.inForceVersion ? this->intent.inForce : ExpertHosts();
 	}
@@ -258,9 +258,9 @@
 			co_return;
 		}
 		const std::vector<RankView> ranks = this->views(kViewMaxAgeMs);
-		const SwitchPatience patience{this->marginSteps(), this->takesTooLong(ranks), this->allReachable(), this->ownRank()};
-		SwitchStep step = decideSwitch(this->intent, ranks, withHistory(patience, this->intent, this->history));
-		this->history = withStep(this->history, this->intent, step);
+		const SwitchConditions patience{this->marginSteps(), this->takesTooLong(ranks), this->allReachable(), this->ownRank()};
+		SwitchDecision step = decideSwitch(this->intent, ranks, applyHistory(patience, this->intent, this->history));
+		this->history = historyAfter(this->history, this->intent, step);
 		if (!step.next)
 		{
 			this->sendOrders(step.orders);
--- a/src/group/coordinator.h
+++ b/src/group/coordinator.h
@@ -238,7 +238,7 @@
 		/// @returns Choices to plan from, if there are newer ones than were planned from before.
 		std::optional<ExpertLoad> newLoad(std::uint64_t _epoch);
 		/// @returns How the group does, from its passes on the map in use; none before there are enough.
-		std::optional<GroupPressure> pressure() const;
+		std::optional<GroupLoad> pressure() const;
 		/// @returns Mean time of the passes on the map in use, ms; none before there are enough.
 		std::optional<double> passOnThisMap() const;
 		static double meanPassMs(const PassSample& _first, const PassSample& _last);
@@ -293,8 +293,8 @@
 		std::uint64_t passEpoch = 0;
 		Millis gapObjectiveMs = 0;
 		double lastSkew = 0.0;
-		SwitchRecord switchRecord;
-		SavingRecord savings;
+		SwitchDurationStats switchRecord;
+		SavingStats savings;
 		SwitchChoice lastChoice; ///< The last one that was weighed.
 		PlannedSwitch lastPlanned;
 		MapStart mapStart;
--- a/src/group/coordinator_maps.cpp
+++ b/src/group/coordinator_maps.cpp
@@ -63,15 +63,15 @@
 		return this->passes.end() - first <= kLeastPasses ? std::nullopt : std::optional(meanPassMs(*first, this->passes.back()));
 	}
 
-	std::optional<GroupPressure> Coordinator::pressure() const
+	std::optional<GroupLoad> Coordinator::pressure() const
 	{
 		// Where skew alone decides, passes on the map before do as well, and the next switch needn't wait for others.
-		const std::optional<double> passMs = isWeighed(*this->model, this->gapObjectiveMs) ? this->passOnThisMap() : std::optional(this->passMs);
+		const std::optional<double> passMs = usesEstimate(*this->model, this->gapObjectiveMs) ? this->passOnThisMap() : std::optional(this->passMs);
 		if (!passMs)
 		{
 			return std::nullopt;
 		}
-		GroupPressure result;
+		GroupLoad result;
 		result.passes = {*passMs, this->gapObjectiveMs};
 		double known = 0.0;
 		for (const auto& [engine, rank] : this->ranks)
@@ -108,7 +108,7 @@
 		if (this->lastPlanned.version == this->intent.inForceVersion)
 		{
 			const double overheadMs = std::max(0.0, double(nowMs() - this->lastPlanned.at) - this->lastPlanned.copyMs);
-			noteSwitch(*this->model, this->switchRecord, {this->lastPlanned.stoodMs, overheadMs}, nowMs());
+			recordSwitch(*this->model, this->switchRecord, {this->lastPlanned.stoodMs, overheadMs}, nowMs());
 			this->mapStart = {this->intent.epoch, this->intent.boundary};
 			this->mapCounters.switches.Increment();
 			this->mapCounters.stoodMs.Increment(this->lastPlanned.stoodMs);
@@ -118,21 +118,21 @@
 
 	void Coordinator::notePlan(const SwitchChoice& _choice, const RankView& _first, double _passMs)
 	{
-		const SwitchWorth& worth = _choice.worth;
+		const SwitchEstimate& worth = _choice.worth;
 		this->lastSkew = _choice.plan.skewBefore;
 		this->mapCounters.skew.Set(_choice.plan.skewBefore);
-		if (SwitchDoubt::LittleSkew == _choice.doubt)
+		if (SwitchRejection::LittleSkew == _choice.doubt)
 		{
 			return;
 		}
-		if (SwitchDoubt::NonePays != _choice.doubt)
+		if (SwitchRejection::NonePays != _choice.doubt)
 		{
 			this->lastChoice = _choice;
 			this->lastChoice.plan.hosts.clear();
 			this->mapCounters.savedMs.Set(worth.savedMs);
 			this->mapCounters.costMs.Set(worth.costMs);
 		}
-		if (SwitchDoubt::None == _choice.doubt)
+		if (SwitchRejection::None == _choice.doubt)
 		{
 			logInfo("map_planned", {{"group", this->group}, {"epoch", _first.epoch}, {"step", _first.step}, {"skew", _choice.plan.skewBefore}, {"planned_skew", _choice.plan.skewAfter}, {"copies", _choice.plan.copies}, {"pass_ms", _passMs}, {"counts_age_ms", nowMs() - this->window.pieces.back().to}, {"saved_ms", worth.savedMs}, {"cost_ms", worth.costMs}, {"expected_ms", worth.expectedMs}, {"kept", worth.keptShare}, {"stood_ms", this->switchRecord.mean.stoodMs}, {"overhead_ms", this->switchRecord.mean.overheadMs}});
 		}
@@ -152,7 +152,7 @@
 			return std::nullopt;
 		}
 		const RankView& first = ranks.front();
-		const std::optional<GroupPressure> pressure = this->pressure();
+		const std::optional<GroupLoad> pressure = this->pressure();
 		const std::optional<ExpertLoad> load = pressure ? this->newLoad(first.epoch) : std::nullopt;
 		const ExpertHosts hosts = load ? this->currentHosts(ranks) : ExpertHosts();
 		if (!load || hosts.size() != load->size())
@@ -161,7 +161,7 @@
 		}
 		const SwitchChoice choice = chooseSwitch(*this->model, std::uint32_t(ranks.size()), hosts, *load, *pressure, this->paces(ranks.size()), this->switchRecord, this->savings, nowMs());
 		this->notePlan(choice, first, pressure->passes.passMs);
-		if (SwitchDoubt::None != choice.doubt)
+		if (SwitchRejection::None != choice.doubt)
 		{
 			return std::nullopt;
 		}
@@ -177,7 +177,7 @@
 
 	nlohmann::json Coordinator::describeMaps() const
 	{
-		const SwitchWorth& worth = this->lastChoice.worth;
+		const SwitchEstimate& worth = this->lastChoice.worth;
 		return {{"doubt", std::string(toString(this->lastChoice.doubt))}, {"skew", this->lastChoice.plan.skewBefore}, {"plannedSkew", this->lastChoice.plan.skewAfter}, {"savedMs", worth.savedMs}, {"costMs", worth.costMs}, {"expectedMs", worth.expectedMs}, {"keptShare", worth.keptShare}, {"stoodMs", this->switchRecord.mean.stoodMs}, {"overheadMs", this->switchRecord.mean.overheadMs}};
 	}
 } // namespace archdyke::group
--- a/src/group/coordinator_orders.cpp
+++ b/src/group/coordinator_orders.cpp
@@ -50,7 +50,7 @@
 			return std::nullopt;
 		}
 		const bool dealt = 0 == this->intent.inForceVersion;
-		return dealt ? dealtInTurn(std::uint32_t(this->intent.map.size()), std::uint32_t(this->intent.map.front().size()), _ranks) : this->intent.inForce;
+		return dealt ? roundRobinMap(std::uint32_t(this->intent.map.size()), std::uint32_t(this->intent.map.front().size()), _ranks) : this->intent.inForce;
 	}
 
 	const MapDifference* Coordinator::differenceFrom(bool _dealt, std::uint64_t _version, std::uint32_t _ranks)
@@ -65,7 +65,7 @@
 		{
 			const std::uint32_t sets = std::uint32_t(map->size());
 			const std::uint32_t experts = std::uint32_t(map->front().size());
-			const ExpertHosts base = _dealt ? dealtInTurn(sets, experts, _ranks) : this->intent.inForce;
+			const ExpertHosts base = _dealt ? roundRobinMap(sets, experts, _ranks) : this->intent.inForce;
 			known.version = _version;
 			known.difference = differenceOf(_dealt ? 0 : this->intent.inForceVersion, expertsByRank(base, _ranks), expertsByRank(*map, _ranks), experts);
 		}
--- a/src/group/coordinator_search.cpp
+++ b/src/group/coordinator_search.cpp
@@ -46,7 +46,7 @@
 	{
 		Rank& rank = this->rankAt(_engine);
 		rank.search.listed = true;
-		rank.search.elsewhereAt = 0;
+		rank.search.otherGroupAt = 0;
 	}
 
 	void Coordinator::meet(const std::string& _engine, Rank& _rank)
@@ -70,7 +70,7 @@
 		}
 		// One that is in no group may join this one at any time.
 		const bool elsewhere = !belongs && !_rank.report.group.empty();
-		this->rankAt(engine).search.elsewhereAt = elsewhere ? nowMs() : 0;
+		this->rankAt(engine).search.otherGroupAt = elsewhere ? nowMs() : 0;
 	}
 
 	SearchProgress Coordinator::progress() const
@@ -115,7 +115,7 @@
 			candidates.push_back(rank.search);
 		}
 		BranchQuestion question{this->coordination(), {}, kSearchPatienceMs, 0};
-		for (const std::size_t index : searchRanks(candidates, this->progress(), nowMs()))
+		for (const std::size_t index : selectCandidatesToPoll(candidates, this->progress(), nowMs()))
 		{
 			Rank& rank = *resting[index];
 			this->meet(rank.engineAddress, rank);
@@ -150,7 +150,7 @@
 	{
 		for (auto& [engine, rank] : this->strangers)
 		{
-			if (0 != rank.search.elsewhereAt)
+			if (0 != rank.search.otherGroupAt)
 			{
 				this->parts.fanOut.forget(engine);
 				rank.direct = rank.askingDirectly ? std::move(rank.direct) : nullptr;
--- a/src/group/coordinator_tree.cpp
+++ b/src/group/coordinator_tree.cpp
@@ -154,7 +154,7 @@
 		if (!_sight.choices.choices.empty())
 		{
 			const Millis now = nowMs();
-			addPiece(this->window, {now - _sight.choices.spanMs, now, _sight.choices.epoch, _sight.choices.choices}, kCountWindowMs);
+			addChoiceSample(this->window, {now - _sight.choices.spanMs, now, _sight.choices.epoch, _sight.choices.choices}, kCountWindowMs);
 		}
 	}
 
--- a/src/group/rank_server.cpp
+++ b/src/group/rank_server.cpp
@@ -201,7 +201,7 @@
 		RankExperts base;
 		if (0 == _difference.base)
 		{
-			base = expertsByRank(dealtInTurn(_difference.sets, _difference.experts, _difference.ranks), _difference.ranks);
+			base = expertsByRank(roundRobinMap(_difference.sets, _difference.experts, _difference.ranks), _difference.ranks);
 		}
 		else if (this->maps.contains(_difference.base))
 		{
--- a/tests/switch_explorer.h
+++ b/tests/switch_explorer.h
@@ -119,7 +119,7 @@
 			World next = _world;
 			next.row.term = term;
 			next.rowVersion += 1;
-			next.coordinatorStates[_coordinator] = {true, false, next.row, next.rowVersion, historyOf(intentOf(next.row)), this->noObservations()};
+			next.coordinatorStates[_coordinator] = {true, false, next.row, next.rowVersion, initialHistory(intentOf(next.row)), this->noObservations()};
 			_next.push_back(std::move(next));
 		}
 
@@ -162,9 +162,9 @@
 		SwitchHistory effectiveHistory(const SwitchHistory& _history) const
 		{
 			SwitchHistory history = _history;
-			history.inherited = DisabledRule::OnlyWriterAbandons == this->disabledRule ? BoundaryMark() : history.inherited;
-			history.armed = DisabledRule::NoAbandonAfterArm == this->disabledRule ? BoundaryMark() : history.armed;
-			history.givenUp = DisabledRule::NoArmsAfterAbandon == this->disabledRule ? BoundaryMark() : history.givenUp;
+			history.inherited = DisabledRule::OnlyWriterAbandons == this->disabledRule ? BoundaryId() : history.inherited;
+			history.armed = DisabledRule::NoAbandonAfterArm == this->disabledRule ? BoundaryId() : history.armed;
+			history.abandonSent = DisabledRule::NoArmsAfterAbandon == this->disabledRule ? BoundaryId() : history.abandonSent;
 			return history;
 		}
 
@@ -176,14 +176,14 @@
 				return;
 			}
 			const SwitchIntent intent = intentOf(state.intent);
-			const SwitchPatience conditions = withHistory({1, _giveUp, true, std::uint32_t(_coordinator % this->bounds.ranks)}, intent, this->effectiveHistory(state.history));
-			const SwitchStep step = decideSwitch(intent, this->bounds.delayedObservations ? state.observations : this->views(_world, state.intent), conditions);
+			const SwitchConditions conditions = applyHistory({1, _giveUp, true, std::uint32_t(_coordinator % this->bounds.ranks)}, intent, this->effectiveHistory(state.history));
+			const SwitchDecision step = decideSwitch(intent, this->bounds.delayedObservations ? state.observations : this->views(_world, state.intent), conditions);
 			if (!step.next && step.orders.empty())
 			{
 				return;
 			}
 			World next = _world;
-			next.coordinatorStates[_coordinator].history = withStep(state.history, intent, step);
+			next.coordinatorStates[_coordinator].history = historyAfter(state.history, intent, step);
 			for (const RankOrderPlan& plan : step.orders)
 			{
 				next.orders.insert({plan, plan.version == intent.version ? state.intent.content : kVoidingContent});
--- a/tests/switch_replay.h
+++ b/tests/switch_replay.h
@@ -61,7 +61,7 @@
 		double basePassMs = 32.0; ///< Duration of a pass without skew and prompts.
 		double holdMs = 45.0;     ///< Stall of the group in a switch.
 		int choicesPerSet = 6;    ///< Choices per stream, pass and set; fewer choices make skew more random.
-		bool useEstimate = true;  ///< Decide by chooseSwitch, else by decideMap alone.
+		bool useEstimate = true;  ///< Decide by chooseSwitch, else by planMap alone.
 	};
 
 	struct ReplayResult
@@ -86,7 +86,7 @@
 		ReplayedGroup(const ReplayConfig& _config, std::uint64_t _seed)
 		    : config(_config)
 		    , random(_seed)
-		    , hosts(dealtInTurn(this->model.sets, this->model.experts, kRanks))
+		    , hosts(roundRobinMap(this->model.sets, this->model.experts, kRanks))
 		    , streams(std::size_t(kRanks) * this->model.slots)
 		    , nextShiftMs(0.0 < _config.shiftEveryMs ? _config.firstShiftMs : 1e12)
 		{
@@ -188,7 +188,7 @@
 				const bool follows = 0.0 == this->result.maxFollowMs && this->config.firstShiftMs <= this->plannedAtMs;
 				this->result.maxFollowMs = follows ? fromMs - this->config.firstShiftMs : this->result.maxFollowMs;
 				this->result.secondHalfSwitches += fromMs > this->config.lengthMs / 2.0 ? 1 : 0;
-				noteSwitch(this->model, this->switches, {heldMs, fromMs + heldMs - this->plannedAtMs - this->copyMs}, Millis(this->nowMs));
+				recordSwitch(this->model, this->switches, {heldMs, fromMs + heldMs - this->plannedAtMs - this->copyMs}, Millis(this->nowMs));
 				this->passes.clear();
 			}
 			this->nowMs += passMs + heldMs;
@@ -199,7 +199,7 @@
 			{
 				choices.insert(choices.end(), set.begin(), set.end());
 			}
-			addPiece(this->window, {Millis(fromMs), Millis(this->nowMs), 1, std::move(choices)}, kCountWindowMs);
+			addChoiceSample(this->window, {Millis(fromMs), Millis(this->nowMs), 1, std::move(choices)}, kCountWindowMs);
 			return load;
 		}
 
@@ -232,17 +232,17 @@
 			}
 			const std::size_t meanCount = std::min<std::size_t>(5, this->passes.size());
 			const double passMs = std::accumulate(this->passes.end() - std::ptrdiff_t(meanCount), this->passes.end(), 0.0) / double(meanCount);
-			const PassPressure passes{passMs, kGapMs};
+			const PassTiming passes{passMs, kGapMs};
 			MapDecision plan;
 			if (this->config.useEstimate)
 			{
 				SwitchChoice choice = chooseSwitch(this->model, kRanks, this->hosts, *load, {passes, double(this->model.slots), 0.0, false}, {}, this->switches, this->savings, Millis(this->nowMs));
 				plan = std::move(choice.plan);
-				plan.worthwhile = SwitchDoubt::None == choice.doubt;
+				plan.worthwhile = SwitchRejection::None == choice.doubt;
 			}
 			else
 			{
-				plan = decideMap(this->model, kRanks, this->hosts, *load, passes);
+				plan = planMap(this->model, kRanks, this->hosts, *load, passes);
 			}
 			if (plan.worthwhile)
 			{
@@ -276,8 +276,8 @@
 		std::vector<int> startedStreams = std::vector<int>(kRanks, 0); ///< Streams that began in the pass, by rank.
 		std::vector<double> passes;                                    ///< Since the last switch, ms.
 		ChoiceWindow window;
-		SwitchRecord switches;
-		SavingRecord savings;
+		SwitchDurationStats switches;
+		SavingStats savings;
 		ReplayResult result;
 	};
 } // namespace archdyke::tests
--- a/tests/switch_world.h
+++ b/tests/switch_world.h
@@ -152,10 +152,10 @@
 		for (CoordinatorState& state : _world.coordinatorStates)
 		{
 			state = state.acting ? state : CoordinatorState();
-			for (BoundaryMark* boundaryId : {&state.history.inherited, &state.history.armed, &state.history.givenUp})
+			for (BoundaryId* boundaryId : {&state.history.inherited, &state.history.armed, &state.history.abandonSent})
 			{
 				const bool over = boundaryId->version < state.intent.version || boundaryId->step < state.intent.boundary;
-				*boundaryId = over ? BoundaryMark() : *boundaryId; // versions and boundaries only increase
+				*boundaryId = over ? BoundaryId() : *boundaryId; // versions and boundaries only increase
 			}
 		}
 	}
--- a/tests/test_forward_switch.cpp
+++ b/tests/test_forward_switch.cpp
@@ -57,7 +57,7 @@
 {
 	SwitchIntent intent = switchingIntent();
 	const RankView past{true, 1, true, 10, 0, 5, {}, {}};
-	const SwitchStep step = decideSwitch(intent, {past, past}, {3, false});
+	const SwitchDecision step = decideSwitch(intent, {past, past}, {3, false});
 	cr_assert(step.next && step.store && 13 == step.next->boundary && SwitchPhase::Switching == step.next->phase);
 	RankView armed = past;
 	armed.armed = 5;
@@ -74,12 +74,12 @@
 	intent.epoch = 1;
 	intent.version = 5;
 	const RankView copied{true, 1, true, 9, 0, 5, {}, {}};
-	const SwitchStep step = decideSwitch(intent, {copied, copied}, {3, false});
+	const SwitchDecision step = decideSwitch(intent, {copied, copied}, {3, false});
 	cr_assert(step.next && step.store && step.orders.empty());
 	cr_assert(SwitchPhase::Switching == step.next->phase && 12 == step.next->boundary);
 	RankView holding = copied;
 	holding.held = 12;
-	const SwitchStep arms = decideSwitch(*step.next, {holding, copied}, {3, false});
+	const SwitchDecision arms = decideSwitch(*step.next, {holding, copied}, {3, false});
 	cr_assert(!arms.next && 2 == arms.orders.size() && RankOrderKind::Arm == arms.orders.front().kind);
 }
 
@@ -89,13 +89,13 @@
 {
 	SwitchIntent intent = switchingIntent();
 	const RankView holding{true, 1, true, 9, 0, 5, {}, 10};
-	const SwitchPatience timedOut{3, true, false, {}};
-	const SwitchStep abandons = decideSwitch(intent, {holding, RankView()}, withHistory(timedOut, intent, {}));
-	const SwitchHistory history = withStep({}, intent, abandons);
-	const SwitchStep repeated = decideSwitch(intent, {holding, holding}, withHistory({3, false}, intent, history));
+	const SwitchConditions timedOut{3, true, false, {}};
+	const SwitchDecision abandons = decideSwitch(intent, {holding, RankView()}, applyHistory(timedOut, intent, {}));
+	const SwitchHistory history = historyAfter({}, intent, abandons);
+	const SwitchDecision repeated = decideSwitch(intent, {holding, holding}, applyHistory({3, false}, intent, history));
 	cr_assert(repeated.next && repeated.orders.empty() && SwitchPhase::Idle == repeated.next->phase);
 	// A coordinator that takes over the row continues the switch.
-	const SwitchStep next = decideSwitch(intent, {holding, holding}, withHistory({3, true}, intent, historyOf(intent)));
+	const SwitchDecision next = decideSwitch(intent, {holding, holding}, applyHistory({3, true}, intent, initialHistory(intent)));
 	cr_assert(!next.next && 2 == next.orders.size());
 }
 
@@ -105,9 +105,9 @@
 {
 	SwitchIntent intent = switchingIntent();
 	const std::vector<RankView> ranks{{true, 1, true, 9, 0, 5, {}, 10}, RankView()};
-	const SwitchStep waits = decideSwitch(intent, ranks, withHistory({3, false, false, {}}, intent, {}));
+	const SwitchDecision waits = decideSwitch(intent, ranks, applyHistory({3, false, false, {}}, intent, {}));
 	cr_assert(!waits.next && waits.orders.empty());
-	const SwitchStep abandons = decideSwitch(intent, ranks, withHistory({3, true, false, {}}, intent, {}));
+	const SwitchDecision abandons = decideSwitch(intent, ranks, applyHistory({3, true, false, {}}, intent, {}));
 	cr_assert(abandons.next && abandons.store && SwitchPhase::Idle == abandons.next->phase && 10 == abandons.next->boundary);
 	cr_assert(1 == releaseStrayHolds(*abandons.next, ranks).size());
 }
@@ -122,21 +122,21 @@
 	const std::uint64_t voids = voidingVersion(intent);
 	RankView holding{true, 1, true, 9, 0, 5, {}, 10};
 	RankView copied{true, 1, true, 9, 0, 5, {}, {}};
-	const SwitchPatience timedOut = withHistory({3, true, false, {}}, intent, historyOf(intent));
-	const SwitchStep startsVoiding = decideSwitch(intent, {holding, copied, RankView()}, timedOut);
+	const SwitchConditions timedOut = applyHistory({3, true, false, {}}, intent, initialHistory(intent));
+	const SwitchDecision startsVoiding = decideSwitch(intent, {holding, copied, RankView()}, timedOut);
 	const std::vector<RankOrderPlan> preparesAgain{{0, RankOrderKind::Prepare, 1, voids, 0}, {1, RankOrderKind::Prepare, 1, voids, 0}};
 	cr_assert(!startsVoiding.next && preparesAgain == startsVoiding.orders);
 	SwitchIntent idle;
 	idle.term = intent.term;
-	cr_assert(voids + 1 == beginSwitch(idle, 1, {}, withStep({}, intent, startsVoiding).version)->version);
+	cr_assert(voids + 1 == beginSwitch(idle, 1, {}, historyAfter({}, intent, startsVoiding).version)->version);
 	// A delayed arm order took effect: the rank is disarmed, since another rank can't be armed any more.
 	RankView armed = copied;
 	armed.armed = 5;
 	holding.prepared = voids;
-	const SwitchStep disarms = decideSwitch(intent, {holding, armed, RankView()}, timedOut);
+	const SwitchDecision disarms = decideSwitch(intent, {holding, armed, RankView()}, timedOut);
 	cr_assert(1 == disarms.orders.size() && RankOrderKind::Disarm == disarms.orders.front().kind && 1 == disarms.orders.front().rank);
 	copied.prepared = voids;
-	const SwitchStep finishes = decideSwitch(intent, {holding, copied, RankView()}, timedOut);
+	const SwitchDecision finishes = decideSwitch(intent, {holding, copied, RankView()}, timedOut);
 	cr_assert(finishes.next && finishes.store && SwitchPhase::Idle == finishes.next->phase && voids == finishes.next->version);
 	cr_assert(1 == releaseStrayHolds(*finishes.next, {holding, copied, RankView()}).size());
 }
@@ -150,10 +150,10 @@
 	intent.last = 2;
 	const RankView holding{true, 1, true, 9, 0, 5, {}, 10};
 	RankView copied{true, 1, true, 9, 0, 5, {}, {}};
-	const SwitchPatience afterTakeOver = withHistory({3, false, false, {}}, intent, historyOf(intent));
-	cr_assert(decideSwitch(intent, {holding, copied, RankView()}, afterTakeOver) == SwitchStep());
-	cr_assert(decideSwitch(intent, {holding, RankView(), RankView()}, afterTakeOver) == SwitchStep(), "nor to the first one seen");
-	const SwitchPatience all = withHistory({3, false, true, {}}, intent, historyOf(intent));
+	const SwitchConditions afterTakeOver = applyHistory({3, false, false, {}}, intent, initialHistory(intent));
+	cr_assert(decideSwitch(intent, {holding, copied, RankView()}, afterTakeOver) == SwitchDecision());
+	cr_assert(decideSwitch(intent, {holding, RankView(), RankView()}, afterTakeOver) == SwitchDecision(), "nor to the first one seen");
+	const SwitchConditions all = applyHistory({3, false, true, {}}, intent, initialHistory(intent));
 	cr_assert(2 == decideSwitch(intent, {holding, copied, copied}, all).orders.size());
 	copied.armed = 5;
 	cr_assert(1 == decideSwitch(intent, {holding, copied, RankView()}, afterTakeOver).orders.size(), "one is armed: the switch can't be abandoned");
@@ -164,8 +164,8 @@
 	SwitchIntent intent = switchingIntent();
 	intent.last = 1;
 	const RankView armed{true, 1, true, 9, 0, 5, 5, 10};
-	const SwitchPatience timedOut = withHistory({3, true, false, {}}, intent, historyOf(intent));
-	cr_assert(decideSwitch(intent, {armed, RankView()}, timedOut) == SwitchStep());
+	const SwitchConditions timedOut = applyHistory({3, true, false, {}}, intent, initialHistory(intent));
+	cr_assert(decideSwitch(intent, {armed, RankView()}, timedOut) == SwitchDecision());
 }
 
 Test(forward, the_last_rank_is_armed_once_all_others_are_seen_to_be)
@@ -175,9 +175,9 @@
 	const RankView holding{true, 1, true, 9, 0, 5, {}, 10};
 	RankView armed{true, 1, true, 9, 0, 5, 5, {}};
 	const RankView copied{true, 1, true, 9, 0, 5, {}, {}};
-	const SwitchStep others = decideSwitch(intent, {copied, holding, copied}, {3, false});
+	const SwitchDecision others = decideSwitch(intent, {copied, holding, copied}, {3, false});
 	cr_assert(2 == others.orders.size() && 1 == others.orders.front().rank);
-	const SwitchStep last = decideSwitch(intent, {holding, armed, armed}, {3, false});
+	const SwitchDecision last = decideSwitch(intent, {holding, armed, armed}, {3, false});
 	cr_assert(1 == last.orders.size() && 0 == last.orders.front().rank && RankOrderKind::Arm == last.orders.front().kind);
 }
 
@@ -185,6 +185,6 @@
 {
 	SwitchIntent intent = switchingIntent();
 	const RankView holding{true, 1, true, 9, 0, 5, 5, 10};
-	const SwitchStep step = decideSwitch(intent, {holding, RankView()}, {3, false});
+	const SwitchDecision step = decideSwitch(intent, {holding, RankView()}, {3, false});
 	cr_assert(!step.next && step.orders.empty());
 }
--- a/tests/test_gateway_decisions.cpp
+++ b/tests/test_gateway_decisions.cpp
@@ -336,10 +336,10 @@
 /// for the whole time, although its experts had been moved within 3 s.
 Test(decisions, streams_leave_a_slow_rank_while_its_group_is_late)
 {
-	cr_assert(shouldLeaveSlow({12.0, 350.0, 150}));
-	cr_assert(!shouldLeaveSlow({12.0, 120.0, 150}), "its group is in time: a move would make the stream late");
-	cr_assert(!shouldLeaveSlow({1.3, 350.0, 150}), "it isn't the one that slows the group");
-	cr_assert(!shouldLeaveSlow({12.0, 0.0, 150}) && !shouldLeaveSlow({12.0, 350.0, 0}));
+	cr_assert(shouldAbandonSlow({12.0, 350.0, 150}));
+	cr_assert(!shouldAbandonSlow({12.0, 120.0, 150}), "its group is in time: a move would make the stream late");
+	cr_assert(!shouldAbandonSlow({1.3, 350.0, 150}), "it isn't the one that slows the group");
+	cr_assert(!shouldAbandonSlow({12.0, 0.0, 150}) && !shouldAbandonSlow({12.0, 350.0, 0}));
 }
 
 /// Moving streams that would complete anyway uses at most half of the budget.
--- a/tests/test_group_choice.cpp
+++ b/tests/test_group_choice.cpp
@@ -99,9 +99,9 @@
 Test(ranksearch, a_complete_group_polls_no_other_ranks)
 {
 	const std::vector<SearchCandidate> others(1'000);
-	cr_assert(searchRanks(others, {24, 24}, 10'000).empty());
-	cr_assert(!searchRanks(others, {23, 24}, 10'000).empty());
-	cr_assert(!searchRanks(others, {0, 0}, 10'000).empty());
+	cr_assert(selectCandidatesToPoll(others, {24, 24}, 10'000).empty());
+	cr_assert(!selectCandidatesToPoll(others, {23, 24}, 10'000).empty());
+	cr_assert(!selectCandidatesToPoll(others, {0, 0}, 10'000).empty());
 }
 
 Test(ranksearch, the_nearest_ranks_are_polled_first_and_few_at_a_time)
@@ -111,7 +111,7 @@
 	{
 		others[index].ownZone = true;
 	}
-	const std::vector<std::size_t> asked = searchRanks(others, {1, 24}, 10'000);
+	const std::vector<std::size_t> asked = selectCandidatesToPoll(others, {1, 24}, 10'000);
 	cr_assert(asked.size() <= 32);
 	for (std::size_t index = 0; index < 10; ++index)
 	{
@@ -124,7 +124,7 @@
 	std::vector<SearchCandidate> others(100);
 	for (int look = 1; look <= 4; ++look)
 	{
-		for (const std::size_t index : searchRanks(others, {1, 24}, 10'000 + look))
+		for (const std::size_t index : selectCandidatesToPoll(others, {1, 24}, 10'000 + look))
 		{
 			others[index].askedAt = 10'000 + look;
 		}
@@ -138,11 +138,11 @@
 {
 	SearchCandidate elsewhere;
 	elsewhere.askedAt = 10'000;
-	elsewhere.elsewhereAt = 10'000;
-	cr_assert(searchRanks({elsewhere}, {23, 24}, 11'000).empty());
-	cr_assert(1 == searchRanks({elsewhere}, {23, 24}, 20'000).size());
+	elsewhere.otherGroupAt = 10'000;
+	cr_assert(selectCandidatesToPoll({elsewhere}, {23, 24}, 11'000).empty());
+	cr_assert(1 == selectCandidatesToPoll({elsewhere}, {23, 24}, 20'000).size());
 	SearchCandidate gone;
 	gone.listed = false;
 	gone.askedAt = 10'000;
-	cr_assert(searchRanks({gone}, {23, 24}, 11'000).empty());
+	cr_assert(selectCandidatesToPoll({gone}, {23, 24}, 11'000).empty());
 }
--- a/tests/test_map_policy.cpp
+++ b/tests/test_map_policy.cpp
@@ -27,7 +27,7 @@
 	}
 
 	/// Passes as long as the objective allows, so that the tolerated skew is at its minimum.
-	const PassPressure kFullPressure{120.0, 120};
+	const PassTiming kFullPressure{120.0, 120};
 
 	/// @returns A load in which one expert of each set receives a quarter of the choices.
 	ExpertLoad oneHot(std::uint32_t _expert)
@@ -88,19 +88,19 @@
 Test(mappolicy, a_window_holds_the_last_choices_of_one_epoch)
 {
 	ChoiceWindow window;
-	addPiece(window, {0, 100, 1, {9, 9}}, 200);
+	addChoiceSample(window, {0, 100, 1, {9, 9}}, 200);
 	cr_assert(!loadOf(window, 2, 200));
-	addPiece(window, {100, 200, 1, {1, 2}}, 200);
-	addPiece(window, {200, 300, 1, {3, 4}}, 200);
+	addChoiceSample(window, {100, 200, 1, {1, 2}}, 200);
+	addChoiceSample(window, {200, 300, 1, {3, 4}}, 200);
 	const std::optional<ExpertLoad> load = loadOf(window, 2, 200);
 	cr_assert(load && (*load)[0][0] == 4.0 && (*load)[0][1] == 6.0);
-	addPiece(window, {300, 400, 2, {1, 1}}, 200);
+	addChoiceSample(window, {300, 400, 2, {1, 1}}, 200);
 	cr_assert(!loadOf(window, 2, 200));
 }
 
 Test(mappolicy, experts_are_assigned_round_robin)
 {
-	const ExpertHosts hosts = dealtInTurn(2, 5, 3);
+	const ExpertHosts hosts = roundRobinMap(2, 5, 3);
 	cr_assert(hosts.size() == 2 && hosts[1][4].front() == 1);
 	const auto ranks = expertsByRank(hosts, 3);
 	cr_assert(ranks[0][0] == (std::vector<std::uint32_t>{0, 3}));
@@ -111,12 +111,12 @@
 Test(mappolicy, a_plan_keeps_the_limits_and_removes_the_skew)
 {
 	checkProperty("limits of a plan", [] {
-		const ExpertHosts dealt = dealtInTurn(4, kExperts, kRanks);
+		const ExpertHosts dealt = roundRobinMap(4, kExperts, kRanks);
 		const ExpertLoad load = oneHot(*rc::gen::inRange<std::uint32_t>(0, kExperts));
-		const MapDecision first = decideMap(engine(), kRanks, dealt, load, kFullPressure);
+		const MapDecision first = planMap(engine(), kRanks, dealt, load, kFullPressure);
 		RC_ASSERT(first.worthwhile && first.skewBefore > 1.0);
 		checkLimits(dealt, first.hosts);
-		const MapDecision second = decideMap(engine(), kRanks, first.hosts, load, kFullPressure);
+		const MapDecision second = planMap(engine(), kRanks, first.hosts, load, kFullPressure);
 		const ExpertHosts& last = second.worthwhile ? second.hosts : first.hosts;
 		RC_ASSERT(skewOf(last, load, kRanks) < 0.4);
 		checkLimits(first.hosts, last);
@@ -132,11 +132,11 @@
 
 Test(mappolicy, nothing_is_moved_without_requests_or_skew)
 {
-	const ExpertHosts hosts = dealtInTurn(4, kExperts, kRanks);
+	const ExpertHosts hosts = roundRobinMap(4, kExperts, kRanks);
 	const ExpertLoad none(4, std::vector<double>(kExperts, 0.0));
 	const ExpertLoad even(4, std::vector<double>(kExperts, 1.0));
-	cr_assert(!decideMap(engine(), kRanks, hosts, none, {60.0, 120}).worthwhile);
-	cr_assert(!decideMap(engine(), kRanks, hosts, even, {60.0, 120}).worthwhile);
+	cr_assert(!planMap(engine(), kRanks, hosts, none, {60.0, 120}).worthwhile);
+	cr_assert(!planMap(engine(), kRanks, hosts, even, {60.0, 120}).worthwhile);
 }
 
 /// All ranks wait for the slowest, so each switch moves a few experts away from a slow rank.
@@ -145,12 +145,12 @@
 	std::vector<double> paces(kRanks, 1.0);
 	paces[3] = 4.0;
 	const ExpertLoad even(4, std::vector<double>(kExperts, 1.0));
-	ExpertHosts hosts = dealtInTurn(4, kExperts, kRanks);
+	ExpertHosts hosts = roundRobinMap(4, kExperts, kRanks);
 	const double before = skewOf(hosts, even, kRanks, paces);
 	cr_assert(before > 2.0 && std::abs(skewOf(hosts, even, kRanks)) < 1e-9);
 	for (int switches = 0; switches < 8; ++switches)
 	{
-		const MapDecision decision = decideMap(engine(), kRanks, hosts, even, kFullPressure, paces);
+		const MapDecision decision = planMap(engine(), kRanks, hosts, even, kFullPressure, paces);
 		hosts = decision.worthwhile ? decision.hosts : hosts;
 	}
 	const double after = skewOf(hosts, even, kRanks, paces);
@@ -195,7 +195,7 @@
 	model.places = 5;
 	model.spare = 2;
 	model.expertCopyMs = 76.0;
-	ExpertHosts hosts = dealtInTurn(model.sets, model.experts, kLargeRanks);
+	ExpertHosts hosts = roundRobinMap(model.sets, model.experts, kLargeRanks);
 	for (std::uint64_t topic = 1; topic <= 6; ++topic)
 	{
 		const ExpertLoad load = topicLoad(model, topic);
@@ -203,7 +203,7 @@
 		int switches = 0;
 		for (; switches < 8 && kAcceptedSkew < skewOf(hosts, load, kLargeRanks); ++switches)
 		{
-			hosts = decideMap(model, kLargeRanks, hosts, load, {150.0, 150}).hosts;
+			hosts = planMap(model, kLargeRanks, hosts, load, {150.0, 150}).hosts;
 		}
 		cr_assert(switches <= 2, "topic %d: %d switches from skew %f to %f", int(topic), switches, before, skewOf(hosts, load, kLargeRanks));
 	}
--- a/tests/test_mapswitch.cpp
+++ b/tests/test_mapswitch.cpp
@@ -64,9 +64,9 @@
 		{
 			MapSwitch agent;
 			agent.rank = _rank;
-			hearProposal(agent, {"g", _number, _number, 1, 0, 2, _number, this->ranks});
-			hearVotes(agent, _number, _heard);
-			hearRank(agent, this->seen(_world, _rank));
+			receiveProposal(agent, {"g", _number, _number, 1, 0, 2, _number, this->ranks});
+			mergeVotes(agent, _number, _heard);
+			applyRankState(agent, this->seen(_world, _rank));
 			return agent;
 		}
 
@@ -282,24 +282,24 @@
 Test(mapswitch, an_old_planner_and_a_busy_agent_are_refused)
 {
 	MapSwitch agent;
-	cr_assert(ProposalRefusal::None == hearProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 2}));
-	cr_assert(ProposalRefusal::None == hearProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 2}));
-	cr_assert(ProposalRefusal::OldFence == hearProposal(agent, {"g", 6, 1, 1, 0, 10, 1, 2}));
-	cr_assert(ProposalRefusal::OldNumber == hearProposal(agent, {"g", 4, 2, 1, 0, 10, 1, 2}));
-	cr_assert(ProposalRefusal::Busy == hearProposal(agent, {"g", 7, 3, 1, 0, 10, 1, 2}));
-	hearVotes(agent, 5, {MapVote::None, MapVote::No});
+	cr_assert(ProposalRefusal::None == receiveProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 2}));
+	cr_assert(ProposalRefusal::None == receiveProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 2}));
+	cr_assert(ProposalRefusal::OldFence == receiveProposal(agent, {"g", 6, 1, 1, 0, 10, 1, 2}));
+	cr_assert(ProposalRefusal::OldNumber == receiveProposal(agent, {"g", 4, 2, 1, 0, 10, 1, 2}));
+	cr_assert(ProposalRefusal::Busy == receiveProposal(agent, {"g", 7, 3, 1, 0, 10, 1, 2}));
+	mergeVotes(agent, 5, {MapVote::None, MapVote::No});
 	RankState rank;
 	rank.floor = 5;
-	hearRank(agent, rank);
-	cr_assert(ProposalRefusal::None == hearProposal(agent, {"g", 7, 3, 1, 0, 10, 1, 2}));
+	applyRankState(agent, rank);
+	cr_assert(ProposalRefusal::None == receiveProposal(agent, {"g", 7, 3, 1, 0, 10, 1, 2}));
 }
 
 Test(mapswitch, a_no_overrides_an_earlier_yes)
 {
 	MapSwitch agent;
-	hearProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 3});
-	hearVotes(agent, 5, {MapVote::None, MapVote::Yes, MapVote::Yes});
-	hearVotes(agent, 5, {MapVote::None, MapVote::No, MapVote::None});
-	hearVotes(agent, 5, {MapVote::None, MapVote::Yes, MapVote::None});
+	receiveProposal(agent, {"g", 5, 2, 1, 0, 10, 1, 3});
+	mergeVotes(agent, 5, {MapVote::None, MapVote::Yes, MapVote::Yes});
+	mergeVotes(agent, 5, {MapVote::None, MapVote::No, MapVote::None});
+	mergeVotes(agent, 5, {MapVote::None, MapVote::Yes, MapVote::None});
 	cr_assert(MapOutcome::Aborted == outcomeOf(agent));
 }
--- a/tests/test_placement.cpp
+++ b/tests/test_placement.cpp
@@ -81,7 +81,7 @@
 		RC_ASSERT(double(plan.staged) <= input.budget);
 		RC_ASSERT(std::abs(plan.skewBefore - naiveSkew(input.hosts, input.load, input.ranks)) < 1e-6);
 		RC_ASSERT(std::abs(plan.skewAfter - naiveSkew(plan.hosts, input.load, input.ranks)) < 1e-6);
-		checkHosts(input, planAnew(input).hosts);
+		checkHosts(input, planFromScratch(input).hosts);
 	});
 }
 
--- a/tests/test_switch_worth.cpp
+++ b/tests/test_switch_worth.cpp
@@ -103,59 +103,59 @@
 		return load;
 	}
 
-	SwitchWorth worthAt(double _passMs, double _stoodMs)
+	SwitchEstimate worthAt(double _passMs, double _stoodMs)
 	{
 		MapDecision plan;
 		plan.skewBefore = 0.6;
 		plan.skewAfter = 0.2;
-		return worthOf(engine(), {{_passMs, kGapMs}, 10.0, 0.0, false}, plan, 81.0, {}, {_stoodMs, 300.0});
+		return estimateSwitch(engine(), {{_passMs, kGapMs}, 10.0, 0.0, false}, plan, 81.0, {}, {_stoodMs, 300.0});
 	}
 
-	SwitchChoice choose(const ExpertLoad& _load, const GroupPressure& _group, SavingRecord& _record, Millis _now = 0)
+	SwitchChoice choose(const ExpertLoad& _load, const GroupLoad& _group, SavingStats& _record, Millis _now = 0)
 	{
-		const ExpertHosts dealt = dealtInTurn(engine().sets, engine().experts, kRanks);
+		const ExpertHosts dealt = roundRobinMap(engine().sets, engine().experts, kRanks);
 		return chooseSwitch(engine(), kRanks, dealt, _load, _group, {}, {}, _record, _now);
 	}
 } // namespace
 
 Test(switchworth, a_pass_within_the_gap_saves_nothing_by_being_shorter)
 {
-	const SwitchWorth idle = worthAt(40.0, 20.0);
-	cr_assert(idle.savedMs < 1.0 && idle.costMs < 1.0 && idle.madeLate < 0.01, "%f %f %f", idle.savedMs, idle.costMs, idle.madeLate);
-	const SwitchWorth tight = worthAt(110.0, 20.0);
+	const SwitchEstimate idle = worthAt(40.0, 20.0);
+	cr_assert(idle.savedMs < 1.0 && idle.costMs < 1.0 && idle.lateStreamProbability < 0.01, "%f %f %f", idle.savedMs, idle.costMs, idle.lateStreamProbability);
+	const SwitchEstimate tight = worthAt(110.0, 20.0);
 	cr_assert(tight.savedMs > 300.0 && tight.savedMs > tight.costMs, "%f %f", tight.savedMs, tight.costMs);
 }
 
 Test(switchworth, a_hold_past_the_gap_makes_all_running_streams_late)
 {
-	const SwitchWorth brief = worthAt(85.0, 5.0);
-	const SwitchWorth lengthy = worthAt(85.0, 100.0);
+	const SwitchEstimate brief = worthAt(85.0, 5.0);
+	const SwitchEstimate lengthy = worthAt(85.0, 100.0);
 	cr_assert(lengthy.costMs > brief.costMs + 500.0 && lengthy.costMs > lengthy.savedMs, "%f %f", brief.costMs, lengthy.costMs);
-	cr_assert(brief.madeLate < 0.1 && lengthy.madeLate > 0.95);
+	cr_assert(brief.lateStreamProbability < 0.1 && lengthy.lateStreamProbability > 0.95);
 }
 
 /// Passes are far longer than the gap, and one switch isn't enough to bring them below it.
 Test(switchworth, a_map_that_takes_several_switches_is_begun)
 {
-	SavingRecord record;
+	SavingStats record;
 	const SwitchChoice choice = choose(oneHot(3), {{400.0, kGapMs}, 10.0, 0.0, false}, record);
-	cr_assert(SwitchDoubt::None == choice.doubt, "%s", std::string(toString(choice.doubt)).c_str());
+	cr_assert(SwitchRejection::None == choice.doubt, "%s", std::string(toString(choice.doubt)).c_str());
 }
 
 Test(switchworth, without_a_longest_pause_skew_alone_decides)
 {
-	SavingRecord record;
-	cr_assert(SwitchDoubt::None == choose(oneHot(3), {{80.0, 0}, 10.0, 0.0, false}, record).doubt);
-	cr_assert(SwitchDoubt::LittleSkew == choose(ExpertLoad(engine().sets, std::vector<double>(engine().experts, 1.0)), {{80.0, 0}, 10.0, 0.0, false}, record).doubt);
+	SavingStats record;
+	cr_assert(SwitchRejection::None == choose(oneHot(3), {{80.0, 0}, 10.0, 0.0, false}, record).doubt);
+	cr_assert(SwitchRejection::LittleSkew == choose(ExpertLoad(engine().sets, std::vector<double>(engine().experts, 1.0)), {{80.0, 0}, 10.0, 0.0, false}, record).doubt);
 }
 
 /// Slots may fill up during a switch, so a switch that makes hardly any stream late isn't delayed.
 Test(switchworth, a_harmless_switch_is_made_before_it_is_needed)
 {
-	SavingRecord record;
+	SavingStats record;
 	const SwitchChoice choice = choose(oneHot(3), {{50.0, kGapMs}, 10.0, 0.0, false}, record);
-	cr_assert(choice.worth.savedMs < 1.0 && choice.worth.madeLate < 0.02, "%f %f", choice.worth.savedMs, choice.worth.madeLate);
-	cr_assert(SwitchDoubt::None == choice.doubt);
+	cr_assert(choice.worth.savedMs < 1.0 && choice.worth.lateStreamProbability < 0.02, "%f %f", choice.worth.savedMs, choice.worth.lateStreamProbability);
+	cr_assert(SwitchRejection::None == choice.doubt);
 }
 
 /// The chosen map is complete, whether the large or the small switch is chosen.
@@ -163,7 +163,7 @@
 {
 	EngineModel model = engine();
 	model.sets = 16;
-	const ExpertHosts dealt = dealtInTurn(model.sets, model.experts, kRanks);
+	const ExpertHosts dealt = roundRobinMap(model.sets, model.experts, kRanks);
 	bool large = false;
 	bool small = false;
 	for (std::uint64_t topic = 1; topic <= 4; ++topic)
@@ -177,7 +177,7 @@
 				std::adjacent_difference(tokens.begin(), tokens.end(), tokens.begin());
 				load.push_back(std::move(tokens));
 			}
-			SavingRecord record;
+			SavingStats record;
 			const SwitchChoice choice = chooseSwitch(model, kRanks, dealt, load, {{passMs, kGapMs}, 10.0, 0.0, false}, {}, {}, record, 0);
 			large = large || choice.plan.copies > 72;
 			small = small || choice.plan.copies <= 72;
@@ -196,25 +196,25 @@
 /// A long stall while the store was slow must not prevent all later switches.
 Test(switchworth, a_long_hold_is_forgotten)
 {
-	SwitchRecord switches;
-	const SwitchTimes guess = expectedTimes(engine(), switches, 0);
-	noteSwitch(engine(), switches, {3'000.0, 3'300.0}, 1'000);
-	cr_assert(expectedTimes(engine(), switches, 1'000).stoodMs > 500.0);
-	cr_assert(expectedTimes(engine(), switches, 21'000).stoodMs < guess.stoodMs + 60.0);
+	SwitchDurationStats switches;
+	const SwitchDurations guess = expectedDurations(engine(), switches, 0);
+	recordSwitch(engine(), switches, {3'000.0, 3'300.0}, 1'000);
+	cr_assert(expectedDurations(engine(), switches, 1'000).stoodMs > 500.0);
+	cr_assert(expectedDurations(engine(), switches, 21'000).stoodMs < guess.stoodMs + 60.0);
 }
 
 Test(switchworth, the_kept_share_of_plans_is_learned)
 {
-	const GroupPressure group{{100.0, kGapMs}, 10.0, 0.0, false};
-	SavingRecord lasting;
-	SavingRecord passing;
+	const GroupLoad group{{100.0, kGapMs}, 10.0, 0.0, false};
+	SavingStats lasting;
+	SavingStats passing;
 	for (Millis now = 0; now < 20'000; now += 100)
 	{
 		choose(oneHot(3), group, lasting, now);
 		choose(oneHot(std::uint32_t(now / 200 * 7)), group, passing, now);
 	}
-	const SavingOutlook kept = outlookOf(lasting, 2'000.0, 400.0);
-	const SavingOutlook gone = outlookOf(passing, 2'000.0, 400.0);
+	const SavingForecast kept = forecastSaving(lasting, 2'000.0, 400.0);
+	const SavingForecast gone = forecastSaving(passing, 2'000.0, 400.0);
 	cr_assert(kept.keptShare > 0.95 && kept.lastsMs > 7'000.0, "%f %f", kept.keptShare, kept.lastsMs);
 	cr_assert(gone.keptShare < 0.2, "%f", gone.keptShare);
 }
@@ -224,36 +224,36 @@
 	MapDecision plan;
 	plan.skewBefore = 0.6;
 	plan.skewAfter = 0.2;
-	const SwitchTimes times{20.0, 300.0};
-	const SwitchWorth staying = worthOf(engine(), {{110.0, kGapMs}, 10.0, 0.0, false}, plan, 81.0, {}, times);
-	const SwitchWorth leaving = worthOf(engine(), {{110.0, kGapMs}, 10.0, 0.0, true}, plan, 81.0, {}, times);
+	const SwitchDurations times{20.0, 300.0};
+	const SwitchEstimate staying = estimateSwitch(engine(), {{110.0, kGapMs}, 10.0, 0.0, false}, plan, 81.0, {}, times);
+	const SwitchEstimate leaving = estimateSwitch(engine(), {{110.0, kGapMs}, 10.0, 0.0, true}, plan, 81.0, {}, times);
 	cr_assert(leaving.expectedMs < staying.expectedMs && leaving.savedMs < staying.savedMs);
 }
 
 Test(switchworth, a_plan_of_a_larger_group_is_not_compared_with_the_counts_of_a_smaller_one)
 {
 	const EngineModel model = engine();
-	SavingRecord record;
+	SavingStats record;
 	MapDecision plan;
-	plan.hosts = dealtInTurn(model.sets, model.experts, kRanks);
+	plan.hosts = roundRobinMap(model.sets, model.experts, kRanks);
 	plan.skewBefore = 1.0;
-	addTrial(record, plan.hosts, plan, 0);
-	takeCounts(record, ExpertLoad(model.sets, std::vector<double>(model.experts, 1.0)), kRanks / 2, {}, 500);
-	takeCounts(record, ExpertLoad(model.sets, std::vector<double>(model.experts / 2, 1.0)), kRanks, {}, 1'000);
+	trackPlan(record, plan.hosts, plan, 0);
+	evaluateTrackedPlans(record, ExpertLoad(model.sets, std::vector<double>(model.experts, 1.0)), kRanks / 2, {}, 500);
+	evaluateTrackedPlans(record, ExpertLoad(model.sets, std::vector<double>(model.experts / 2, 1.0)), kRanks, {}, 1'000);
 	const double compared = std::accumulate(record.planned.begin(), record.planned.end(), 0.0);
 	cr_assert(0.0 == compared);
 }
 
 Test(switchworth, with_fast_copies_skew_alone_decides)
 {
-	const ExpertHosts dealt = dealtInTurn(engine().sets, engine().experts, kRanks);
+	const ExpertHosts dealt = roundRobinMap(engine().sets, engine().experts, kRanks);
 	const auto choiceAt = [&](double _copyMs) {
 		EngineModel model = engine();
 		model.expertCopyMs = _copyMs;
-		SavingRecord record;
+		SavingStats record;
 		return chooseSwitch(model, kRanks, dealt, oneHot(3), {{100.0, kGapMs}, 10.0, 0.0, false}, {}, {}, record, 1'000);
 	};
 	const SwitchChoice fast = choiceAt(double(kGapMs) / 10.0);
-	cr_assert(SwitchDoubt::None == fast.doubt && SwitchWorth() == fast.worth, "no estimate was made");
-	cr_assert(SwitchWorth() != choiceAt(double(kGapMs) / 5.0).worth);
+	cr_assert(SwitchRejection::None == fast.doubt && SwitchEstimate() == fast.worth, "no estimate was made");
+	cr_assert(SwitchEstimate() != choiceAt(double(kGapMs) / 5.0).worth);
 }
--- a/tools/bench_cost.cpp
+++ b/tools/bench_cost.cpp
@@ -168,11 +168,11 @@
 			}));
 			tables.push_back(slope("agent: one vote message of a map switch (merge, decide)", "ranks", "us", {16, 32, 64, 128}, [](double _size) {
 				MapSwitch known;
-				hearProposal(known, {"g", 1, 1, 1, 0, 100, 1, std::uint32_t(_size)});
+				receiveProposal(known, {"g", 1, 1, 1, 0, 100, 1, std::uint32_t(_size)});
 				const std::vector<MapVote> votes(std::size_t(_size), MapVote::Yes);
 				int sum = 0;
 				const double us = timeUs(50'000, [&] {
-					hearVotes(known, 1, votes);
+					mergeVotes(known, 1, votes);
 					sum += int(outcomeOf(known));
 				});
 				return us + (sum < 0 ? 1.0 : 0.0);
--- a/tools/bench_maps.cpp
+++ b/tools/bench_maps.cpp
@@ -57,9 +57,9 @@
 			{
 				Random random{std::uint64_t(seed)};
 				const ExpertLoad load = hotLoad(_size.model, random);
-				const ExpertHosts hosts = dealtInTurn(_size.model.sets, _size.model.experts, _size.ranks);
+				const ExpertHosts hosts = roundRobinMap(_size.model.sets, _size.model.experts, _size.ranks);
 				const auto begun = std::chrono::steady_clock::now();
-				const MapDecision decision = decideMap(_size.model, _size.ranks, hosts, load, {120.0, 120});
+				const MapDecision decision = planMap(_size.model, _size.ranks, hosts, load, {120.0, 120});
 				ms.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count());
 				after.push_back(decision.skewAfter);
 				copies.push_back(decision.copies);
@@ -69,7 +69,7 @@
 				free.slots = _size.model.places;
 				free.hosts = hosts;
 				free.load = load;
-				best.push_back(planAnew(free).skewAfter);
+				best.push_back(planFromScratch(free).skewAfter);
 			}
 			return {std::to_string(_size.ranks), fmt::format("{:.2f}", before), show(spreadOf(after), 2), show(spreadOf(best), 2), show(spreadOf(copies), 0), show(spreadOf(ms), 1)};
 		}
--- a/tools/bench_placement.cpp
+++ b/tools/bench_placement.cpp
@@ -127,7 +127,7 @@
 			PlacementInput input = startInput(_ranks);
 			// Everybody starts from a good map of the first window, at no cost.
 			input.load = _trace.front();
-			input.hosts = planAnew(input).hosts;
+			input.hosts = planFromScratch(input).hosts;
 			std::vector<double> skews;
 			Run run;
 			for (std::size_t window = 1; window < _trace.size(); ++window)
@@ -157,7 +157,7 @@
 		Decide everyWindow()
 		{
 			return [](const PlacementInput& _input, std::size_t) {
-				return planAnew(_input);
+				return planFromScratch(_input);
 			};
 		}
 
@@ -166,7 +166,7 @@
 			return [&_trace](const PlacementInput& _input, std::size_t _window) {
 				PlacementInput next = _input;
 				next.load = _trace[std::min(_window + 1, _trace.size() - 1)];
-				return planAnew(next);
+				return planFromScratch(next);
 			};
 		}
 
@@ -242,7 +242,7 @@
 					const Trace trace = makeTrace(Season::Menu, std::uint64_t(seed));
 					PlacementInput input = startInput(128);
 					input.load = trace.front();
-					input.hosts = planAnew(input).hosts;
+					input.hosts = planFromScratch(input).hosts;
 					input.load.clear();
 					const ExpertHosts hosts = input.hosts;
 					input.hosts.clear();
--- a/tools/bench_shifts.cpp
+++ b/tools/bench_shifts.cpp
@@ -161,7 +161,7 @@
 		{
 			const EngineModel engine = model();
 			Topics topics(_demand, engine, _seed);
-			ExpertHosts hosts = dealtInTurn(engine.sets, engine.experts, kRanks);
+			ExpertHosts hosts = roundRobinMap(engine.sets, engine.experts, kRanks);
 			ExpertHosts next;
 			double inForceAt = 0.0;
 			Outcome outcome;
@@ -185,7 +185,7 @@
 					continue;
 				}
 				const double passMs = kPassMs * (1.0 - kExpertShare + kExpertShare * (1.0 + skew));
-				MapDecision decision = decideMap(engine, kRanks, hosts, load, {passMs, kGapObjectiveMs}, {}, double(_copies) * kCopyMs);
+				MapDecision decision = planMap(engine, kRanks, hosts, load, {passMs, kGapObjectiveMs}, {}, double(_copies) * kCopyMs);
 				if (decision.worthwhile)
 				{
 					next = std::move(decision.hosts);
