--- a/src/gateway/caller_server.cpp
+++ b/src/gateway/caller_server.cpp
@@ -96,7 +96,7 @@
 
 		bool wantsContinue(const http::RequestHead& _head)
 		{
-			return http::sameName(_head.headers.find("Expect").value_or(""), "100-continue");
+			return http::equalHeaderNames(_head.headers.find("Expect").value_or(""), "100-continue");
 		}
 
 		/// Reads the body of a request whose head was read.
--- a/src/gateway/crash_check.cpp
+++ b/src/gateway/crash_check.cpp
@@ -27,9 +27,9 @@
 			try
 			{
 				http::Lease lease = co_await _state.pool.connect(std::move(_address), options);
-				co_await lease.connection->whenGone().exclusiveJoin(_state.loop.timer.afterDelay(kCloseDelayMs * kj::MILLISECONDS));
-				const bool gone = lease.connection->isGone();
-				_state.pool.giveBack(std::move(lease), kProbeIdleTimeoutMs);
+				co_await lease.connection->whenDisconnected().exclusiveJoin(_state.loop.timer.afterDelay(kCloseDelayMs * kj::MILLISECONDS));
+				const bool gone = lease.connection->isDisconnected();
+				_state.pool.returnToPool(std::move(lease), kProbeIdleTimeoutMs);
 				co_return gone;
 			}
 			catch (const kj::Exception& error)
--- a/src/gateway/crash_teller.cpp
+++ b/src/gateway/crash_teller.cpp
@@ -86,8 +86,8 @@
 			return;
 		}
 		this->isWriting = true;
-		record.publishing = popFront(record.unpublished, store::kMostChanges);
-		std::vector<Crash> cleared = popFront(record.cleared, store::kMostChanges - record.publishing.size());
+		record.publishing = popFront(record.unpublished, store::kMaxRowChanges);
+		std::vector<Crash> cleared = popFront(record.cleared, store::kMaxRowChanges - record.publishing.size());
 		this->writing = this->write(std::move(cleared)).take().eagerlyEvaluate(nullptr);
 	}
 
--- a/src/gateway/daemon.cpp
+++ b/src/gateway/daemon.cpp
@@ -11,7 +11,7 @@
 
 namespace archdyke::gateway
 {
-	std::optional<std::string> settingsPath(const std::string& _name, const std::string& _purpose, int _argc, char** _argv)
+	std::optional<std::string> parseSettingsPath(const std::string& _name, const std::string& _purpose, int _argc, char** _argv)
 	{
 		cxxopts::Options options(_name, _purpose);
 		options.add_options()("s,settings", "Settings file, JSON with comments", cxxopts::value<std::string>())("settings-from", "Environment variable that holds the path of the settings file", cxxopts::value<std::string>())("v,version", "Print the version")("h,help", "Print this help");
@@ -53,7 +53,7 @@
 		});
 	}
 
-	int guardMain(const std::string& _name, const std::function<void()>& _run)
+	int runGuarded(const std::string& _name, const std::function<void()>& _run)
 	{
 		constexpr int kStartFailed = 2;
 		try
--- a/src/gateway/daemon.h
+++ b/src/gateway/daemon.h
@@ -11,7 +11,7 @@
 	/// Parses --settings FILE, or --settings-from VARIABLE, where the environment variable holds the path.
 	/// @returns The path; none when help or the version was printed.
 	/// @throws InvalidInputError When neither is given, or the variable isn't set.
-	std::optional<std::string> settingsPath(const std::string& _name, const std::string& _purpose, int _argc, char** _argv);
+	std::optional<std::string> parseSettingsPath(const std::string& _name, const std::string& _purpose, int _argc, char** _argv);
 
 	/// Makes the event loop receive SIGTERM, SIGINT and SIGHUP. Must be called before the loop is created.
 	void captureSignals();
@@ -21,5 +21,5 @@
 
 	/// Runs a daemon's main function and prints errors, with their remedies, to standard error.
 	/// @returns Exit code: 0, or 2 after an error.
-	int guardMain(const std::string& _name, const std::function<void()>& _run);
+	int runGuarded(const std::string& _name, const std::function<void()>& _run);
 } // namespace archdyke::gateway
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -95,15 +95,15 @@
 				return isProofYoungerThan(this->state, this->state.settings.bounds.revocationMs * 3 / 5);
 			}
 
-			http::WholeAnswer readinessResponse() const
+			http::FullResponse readinessResponse() const
 			{
 				const bool ready = this->isReady();
 				return {{ready ? 200 : 503, {}, true}, ready ? "ready\n" : "not ready\n"};
 			}
 
-			http::WholeAnswer adminResponse(const http::RequestHead& _head)
+			http::FullResponse adminResponse(const http::RequestHead& _head)
 			{
-				http::WholeAnswer response{{200, {}, true}, ""};
+				http::FullResponse response{{200, {}, true}, ""};
 				this->counters.connectionsOpened.Increment(double(this->state.pool.opened() - this->countedConnections));
 				this->countedConnections = this->state.pool.opened();
 				if ("/dump" == _head.target)
@@ -173,7 +173,7 @@
 
 			const std::string path;
 			kj::AsyncIoContext& io;
-			http::LoopParts loop;
+			http::LoopContext loop;
 			Metrics metrics;
 			GatewayCounters counters;
 			GatewayState state;
@@ -190,8 +190,8 @@
 
 	int runGateway(const Deployment& _deployment, int _argc, char** _argv)
 	{
-		return guardMain("archdyke-gateway", [&] {
-			const std::optional<std::string> path = settingsPath("archdyke-gateway", "Takes callers' requests to HTTP upstreams.", _argc, _argv);
+		return runGuarded("archdyke-gateway", [&] {
+			const std::optional<std::string> path = parseSettingsPath("archdyke-gateway", "Takes callers' requests to HTTP upstreams.", _argc, _argv);
 			if (!path)
 			{
 				return;
--- a/src/gateway/gateway_process.h
+++ b/src/gateway/gateway_process.h
@@ -12,7 +12,7 @@
 		Codec codec;
 		DocumentDecoders decoders;
 		store::TableNames tables;
-		std::unique_ptr<store::TableStore> (*makeStore)(http::LoopParts _loop, std::string _address);
+		std::unique_ptr<store::TableStore> (*makeStore)(http::LoopContext _loop, std::string _address);
 	};
 
 	/// Reads the command line and the settings, serves until a stop signal, and shuts down gracefully.
--- a/src/gateway/relay.cpp
+++ b/src/gateway/relay.cpp
@@ -93,7 +93,7 @@
 			AttemptResult result = failed(ExecutionProof::Ran, reason);
 			if (body && !promisesNotRun(_head.status) && !_context.headSent)
 			{
-				result.failure = http::WholeAnswer{_head, *body};
+				result.failure = http::FullResponse{_head, *body};
 			}
 			co_return result;
 		}
@@ -157,7 +157,7 @@
 			{
 				co_return failed(ExecutionProof::Ran, "answer_broke_off");
 			}
-			const http::WholeAnswer whole{_head, std::move(*body)};
+			const http::FullResponse whole{_head, std::move(*body)};
 			_context.writingToCaller = true;
 			co_await forwardResponse(_context, whole);
 			_context.writingToCaller = false;
@@ -278,7 +278,7 @@
 		return head;
 	}
 
-	aio::Task<void> forwardResponse(RequestContext& _context, const http::WholeAnswer& _response)
+	aio::Task<void> forwardResponse(RequestContext& _context, const http::FullResponse& _response)
 	{
 		const http::ResponseHead head = beginResponse(_context, _response.head);
 		return _context.connection.write(http::serialize(head, _response.body));
@@ -322,10 +322,10 @@
 		{
 			_context.maybeRunning = mayHaveRunBefore;
 		}
-		result.connectionLost = !completeExchange && !notRun && lease.connection->isGone();
+		result.connectionLost = !completeExchange && !notRun && lease.connection->isDisconnected();
 		if (completeExchange && written && result.keepIdleMs)
 		{
-			_context.state.pool.giveBack(std::move(lease), *result.keepIdleMs);
+			_context.state.pool.returnToPool(std::move(lease), *result.keepIdleMs);
 		}
 		co_return result;
 	}
--- a/src/gateway/relay.h
+++ b/src/gateway/relay.h
@@ -13,15 +13,15 @@
 		bool withheld = false;                          ///< Nothing was sent because the upstream accepts no more requests at present.
 		ExecutionProof proof = ExecutionProof::Unknown; ///< Whether the request ran, if not answered.
 		RefusalReason refusal = RefusalReason::None;
-		std::optional<http::WholeAnswer> failure; ///< Error response of the upstream that may be forwarded.
-		std::optional<Millis> keepIdleMs;         ///< How long the connection may be kept idle; none to close it.
-		bool groupFault = false;                  ///< The attempt failed because of another member of the group.
-		bool connectionLost = false;              ///< The connection ended while the upstream had the request.
-		std::string reason;                       ///< For the log.
+		std::optional<http::FullResponse> failure; ///< Error response of the upstream that may be forwarded.
+		std::optional<Millis> keepIdleMs;          ///< How long the connection may be kept idle; none to close it.
+		bool groupFault = false;                   ///< The attempt failed because of another member of the group.
+		bool connectionLost = false;               ///< The connection ended while the upstream had the request.
+		std::string reason;                        ///< For the log.
 	};
 
 	/// Forwards a complete response of an upstream to the caller.
-	aio::Task<void> forwardResponse(RequestContext& _context, const http::WholeAnswer& _response);
+	aio::Task<void> forwardResponse(RequestContext& _context, const http::FullResponse& _response);
 
 	/// Sends the request to an upstream and relays its response.
 	aio::Task<AttemptResult> attemptUpstream(RequestContext& _context, UpstreamRef _upstream);
--- a/src/gateway/request.cpp
+++ b/src/gateway/request.cpp
@@ -168,7 +168,7 @@
 				refusal = std::move(_refusal);
 				return RaceEnd::Dispatched;
 			});
-			kj::Promise<RaceEnd> left = _context.connection.whenGone().then([] {
+			kj::Promise<RaceEnd> left = _context.connection.whenDisconnected().then([] {
 				return RaceEnd::CallerLeft;
 			});
 			kj::Promise<RaceEnd> deadlinePassed = waitUntil(_context.state.loop.timer, _context.deadlineAt).take().then([] {
--- a/src/gateway/state.h
+++ b/src/gateway/state.h
@@ -31,7 +31,7 @@
 	{
 		GatewaySettings settings;
 		Codec codec;
-		http::LoopParts loop;
+		http::LoopContext loop;
 		GatewayCounters& counters;
 		Board board;
 		http::ConnectionPool pool;
@@ -46,7 +46,7 @@
 		bool leaving = false;       ///< The stop signal has arrived.
 		std::uint32_t inFlight = 0; ///< Callers' requests in progress.
 
-		GatewayState(GatewaySettings _settings, Codec _codec, http::LoopParts _loop, GatewayCounters& _counters, std::uint64_t _seed)
+		GatewayState(GatewaySettings _settings, Codec _codec, http::LoopContext _loop, GatewayCounters& _counters, std::uint64_t _seed)
 		    : settings(std::move(_settings))
 		    , codec(_codec)
 		    , loop(_loop)
--- a/src/gateway/watch.cpp
+++ b/src/gateway/watch.cpp
@@ -163,7 +163,7 @@
 		const store::FollowedTable& table = this->tables.*_feed.table;
 		if (table.version != _known)
 		{
-			(this->*_feed.apply)(store::rowsSince(table, _known), _known, _known < table.wholeAt);
+			(this->*_feed.apply)(store::rowsSince(table, _known), _known, _known < table.fullReadVersion);
 		}
 	}
 
@@ -172,7 +172,7 @@
 		std::string name = _feed.name;
 		if (_whole)
 		{
-			return store::readWhole(this->store, std::move(name));
+			return store::readFullTable(this->store, std::move(name));
 		}
 		auto interrupt = kj::newPromiseAndFulfiller<store::Rows>();
 		_feed.interrupt = kj::mv(interrupt.fulfiller);
@@ -189,7 +189,7 @@
 			recordStoreClock(this->state.freshness, _rows.sentAt, *_rows.storeTime);
 		}
 		this->recordStoreResponse(_rows.storeTime ? toLocalTime(this->state.freshness, *_rows.storeTime).value_or(_rows.sentAt) : _rows.sentAt);
-		store::takeRows(table, _rows, _whole);
+		store::mergeRows(table, _rows, _whole);
 		_feed.needsWhole = false;
 		this->applyChanges(_feed, known);
 		// A newer configuration that can't be decoded may revoke keys, so the current one must not count as proven.
@@ -217,7 +217,7 @@
 				const store::Rows rows = co_await this->call(_feed, whole);
 				this->recordCall(_feed, true, "");
 				retryMs = kRetryMs;
-				if (rows.historyGone)
+				if (rows.historyTruncated)
 				{
 					logWarning("store_history_gone", {{"table", _feed.name}, {"since", (this->tables.*_feed.table).version}});
 					_feed.needsWhole = true;
--- a/src/gateway/watch_news.cpp
+++ b/src/gateway/watch_news.cpp
@@ -124,7 +124,7 @@
 	{
 		store::FollowedTable& table = this->tables.*_feed.table;
 		const std::uint64_t known = table.version;
-		if (!store::takeNews(table, _news))
+		if (!store::mergeNews(table, _news))
 		{
 			logWarning("news_unusable", {{"table", _feed.name}, {"version", _news.version}, {"known", known}, {"remedy", "none: the whole table is requested"}});
 			return;
--- a/src/gateway/watch_rows.cpp
+++ b/src/gateway/watch_rows.cpp
@@ -228,7 +228,7 @@
 		}
 		const bool afterFirstList = this->upstreamsListed; // upstreams of the first list may have run for long
 		this->upstreamsListed = true;
-		for (const store::Row& row : store::inOrderOfWriting(_rows.rows))
+		for (const store::Row& row : store::sortedByVersion(_rows.rows))
 		{
 			if (row.version <= _known)
 			{
--- a/src/gateway/watch_start.cpp
+++ b/src/gateway/watch_start.cpp
@@ -30,7 +30,7 @@
 			if (rows.more)
 			{
 				recordStoreClock(this->state.freshness, rows.sentAt, rows.storeTime.value_or(rows.sentAt));
-				for (const store::Row& row : store::inOrderOfWriting(rows.rows))
+				for (const store::Row& row : store::sortedByVersion(rows.rows))
 				{
 					this->applyUpstreamRow(row, false);
 				}
--- a/src/group/coordinator.h
+++ b/src/group/coordinator.h
@@ -22,7 +22,7 @@
 	/// What a coordinator needs of its process.
 	struct CoordinatorParts
 	{
-		http::LoopParts loop;
+		http::LoopContext loop;
 		store::TableStore& store;
 		store::TableNames names;
 		EngineCodec codec;
--- a/src/group/coordinator_row.cpp
+++ b/src/group/coordinator_row.cpp
@@ -126,7 +126,7 @@
 
 	void Coordinator::takeUpstreams(const store::Rows& _rows)
 	{
-		for (const store::Row& row : store::inOrderOfWriting(_rows.rows))
+		for (const store::Row& row : store::sortedByVersion(_rows.rows))
 		{
 			if (row.gone)
 			{
@@ -216,7 +216,7 @@
 		std::string name = _feed.name;
 		if (_whole)
 		{
-			return store::readWhole(this->parts.store, std::move(name));
+			return store::readFullTable(this->parts.store, std::move(name));
 		}
 		return this->parts.store.follow(std::move(name), (this->parts.knowledge.tables.*_feed.table).version, _feed.waitMs);
 	}
@@ -239,7 +239,7 @@
 	{
 		store::FollowedTable& table = this->parts.knowledge.tables.*_feed.table;
 		const std::uint64_t known = table.version;
-		store::takeRows(table, _rows, _whole);
+		store::mergeRows(table, _rows, _whole);
 		if (table.version != known)
 		{
 			(this->*_feed.take)(store::rowsSince(table, known));
@@ -259,8 +259,8 @@
 			try
 			{
 				const store::Rows rows = co_await this->nextRows(_feed, whole);
-				needsWhole = rows.historyGone;
-				if (rows.historyGone)
+				needsWhole = rows.historyTruncated;
+				if (rows.historyTruncated)
 				{
 					logWarning("store_history_gone", {{"group", this->group}, {"table", _feed.name}, {"since", table.version}});
 					continue;
--- a/src/group/engine.cpp
+++ b/src/group/engine.cpp
@@ -14,7 +14,7 @@
 		constexpr int kOk = 200;
 	} // namespace
 
-	Engine::Engine(http::LoopParts _loop, EngineCodec _codec, std::string _address)
+	Engine::Engine(http::LoopContext _loop, EngineCodec _codec, std::string _address)
 	    : loop(_loop)
 	    , codec(std::move(_codec))
 	    , engineAddress(std::move(_address))
@@ -32,7 +32,7 @@
 		http::RequestHead head{"GET", std::move(_target), {}, true};
 		head.headers.add("Host", this->engineAddress);
 		std::string none;
-		const http::WholeAnswer answer = co_await http::exchange(this->pool, this->loop.timer, this->engineAddress, std::move(head), std::move(none), kReportTimeoutMs);
+		const http::FullResponse answer = co_await http::exchange(this->pool, this->loop.timer, this->engineAddress, std::move(head), std::move(none), kReportTimeoutMs);
 		if (kOk != answer.head.status)
 		{
 			kj::throwFatalException(KJ_EXCEPTION(FAILED, "the engine answered a question with status", answer.head.status));
@@ -64,7 +64,7 @@
 			head.headers.add("Host", this->engineAddress);
 			head.headers.add("Content-Type", "application/json");
 			std::string body = this->codec.encodeOrder(_order);
-			const http::WholeAnswer answer = co_await http::exchange(this->pool, this->loop.timer, this->engineAddress, std::move(head), std::move(body), kOrderTimeoutMs);
+			const http::FullResponse answer = co_await http::exchange(this->pool, this->loop.timer, this->engineAddress, std::move(head), std::move(body), kOrderTimeoutMs);
 			outcome.status = answer.head.status;
 			outcome.accepted = this->codec.isAccepted(answer.head.status);
 		}
--- a/src/group/engine.h
+++ b/src/group/engine.h
@@ -21,7 +21,7 @@
 	class Engine
 	{
 	public:
-		Engine(http::LoopParts _loop, EngineCodec _codec, std::string _address);
+		Engine(http::LoopContext _loop, EngineCodec _codec, std::string _address);
 
 		/// @throws kj::Exception When there is no usable answer in time.
 		aio::Task<EngineReport> report();
@@ -35,7 +35,7 @@
 	private:
 		aio::Task<std::string> get(std::string _target);
 
-		http::LoopParts loop;
+		http::LoopContext loop;
 		EngineCodec codec;
 		std::string engineAddress;
 		http::ConnectionPool pool;
--- a/src/group/fan_out.cpp
+++ b/src/group/fan_out.cpp
@@ -38,7 +38,7 @@
 		return _engine.substr(0, _engine.rfind(':') + 1) + std::to_string(_peerPort);
 	}
 
-	FanOut::FanOut(http::LoopParts _loop, int _peerPort, double _linkMbps, const GroupKnowledge& _knowledge)
+	FanOut::FanOut(http::LoopContext _loop, int _peerPort, double _linkMbps, const GroupKnowledge& _knowledge)
 	    : loop(_loop)
 	    , peerPort(_peerPort)
 	    , listBytesPerMs(kListLinkShare * kBytesPerMsOfMegabit * _linkMbps)
--- a/src/group/fan_out.h
+++ b/src/group/fan_out.h
@@ -18,7 +18,7 @@
 		/// @param[in] _peerPort Where daemons listen.
 		/// @param[in] _linkMbps Of the VM.
 		/// @param[in] _knowledge What the children are told of the group.
-		FanOut(http::LoopParts _loop, int _peerPort, double _linkMbps, const GroupKnowledge& _knowledge);
+		FanOut(http::LoopContext _loop, int _peerPort, double _linkMbps, const GroupKnowledge& _knowledge);
 
 		/// @returns News for one who holds some of it: lists come within a share of the link's rate,
 		/// the state of the group always. Whoever gets none this time is told with the next question.
@@ -84,7 +84,7 @@
 		Coordination newestOf(const BranchQuestion& _question) const;
 		ChoiceSum takeChoices(const std::vector<std::string>& _engines);
 
-		http::LoopParts loop;
+		http::LoopContext loop;
 		const int peerPort;
 		const double listBytesPerMs;
 		double listBytesLeft = 0.0; ///< That lists may take now; below 0 after one that was longer.
--- a/src/group/group_news.cpp
+++ b/src/group/group_news.cpp
@@ -31,7 +31,7 @@
 		return {_a.count + _b.count, std::max(_a.proof, _b.proof)};
 	}
 
-	void takeNews(GroupKnowledge& _knowledge, const NewsBundle& _bundle, Millis _now)
+	void mergeNews(GroupKnowledge& _knowledge, const NewsBundle& _bundle, Millis _now)
 	{
 		if (0 != _bundle.news.number && isNewer(_bundle.news, _knowledge.news))
 		{
@@ -43,9 +43,9 @@
 			_knowledge.roster = _bundle.roster;
 		}
 		// One that can't be used is forgotten, and so held at no version: it is told whole next.
-		store::takeNews(_knowledge.tables.operators, _bundle.tables.operators);
-		store::takeNews(_knowledge.tables.crashes, _bundle.tables.crashes);
-		store::takeNews(_knowledge.tables.upstreams, _bundle.tables.upstreams);
+		store::mergeNews(_knowledge.tables.operators, _bundle.tables.operators);
+		store::mergeNews(_knowledge.tables.crashes, _bundle.tables.crashes);
+		store::mergeNews(_knowledge.tables.upstreams, _bundle.tables.upstreams);
 	}
 
 	NewsBundle newsFor(const GroupKnowledge& _knowledge, const HeldVersions& _held, Millis _now)
--- a/src/group/group_news.h
+++ b/src/group/group_news.h
@@ -100,7 +100,7 @@
 	};
 
 	/// Takes in what is newer than what is known.
-	void takeNews(GroupKnowledge& _knowledge, const NewsBundle& _bundle, Millis _now);
+	void mergeNews(GroupKnowledge& _knowledge, const NewsBundle& _bundle, Millis _now);
 
 	/// @returns What is told to one who holds some of it.
 	NewsBundle newsFor(const GroupKnowledge& _knowledge, const HeldVersions& _held, Millis _now);
--- a/src/group/rank_link.cpp
+++ b/src/group/rank_link.cpp
@@ -13,7 +13,7 @@
 		constexpr int kUserTimeoutMs = 1'000;
 	} // namespace
 
-	RankLink::RankLink(http::LoopParts _loop, std::string _address)
+	RankLink::RankLink(http::LoopContext _loop, std::string _address)
 	    : loop(_loop)
 	    , daemonAddress(std::move(_address))
 	{
@@ -30,7 +30,7 @@
 		{
 			co_return this->connection;
 		}
-		sockaddr_in target = http::socketAddress(this->daemonAddress);
+		sockaddr_in target = http::parseSocketAddress(this->daemonAddress);
 		kj::Own<kj::NetworkAddress> destination = this->loop.network.getSockaddr(&target, sizeof(target));
 		kj::Own<kj::AsyncIoStream> stream = co_await this->loop.timer.timeoutAfter(_timeoutMs * kj::MILLISECONDS, destination->connect());
 		stream->setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(kUserTimeoutMs));
--- a/src/group/rank_link.h
+++ b/src/group/rank_link.h
@@ -52,7 +52,7 @@
 	{
 	public:
 		/// @param[in] _address "IP:port" of the daemon.
-		RankLink(http::LoopParts _loop, std::string _address);
+		RankLink(http::LoopContext _loop, std::string _address);
 
 		/// All throw kj::Exception when there is no answer in time.
 		/// @param[in] _sample The last sample of counts that is held, 0 for none.
@@ -80,7 +80,7 @@
 		template <typename T>
 		aio::Task<T> within(kj::Promise<T> _answer, std::shared_ptr<Connection> _connection, Millis _timeoutMs);
 
-		http::LoopParts loop;
+		http::LoopContext loop;
 		std::string daemonAddress;
 		std::shared_ptr<Connection> connection;
 	};
--- a/src/group/rank_rpc.cpp
+++ b/src/group/rank_rpc.cpp
@@ -120,7 +120,7 @@
 		{
 			return;
 		}
-		const sockaddr_in address = http::socketAddress(_address);
+		const sockaddr_in address = http::parseSocketAddress(_address);
 		_builder.setIp(ntohl(address.sin_addr.s_addr));
 		_builder.setPort(ntohs(address.sin_port));
 	}
--- a/src/group/rank_server.cpp
+++ b/src/group/rank_server.cpp
@@ -111,7 +111,7 @@
 	{
 		if (_bundle.news.coordination.group == this->state.newest.group)
 		{
-			takeNews(this->state.knowledge, _bundle, nowMs());
+			mergeNews(this->state.knowledge, _bundle, nowMs());
 		}
 	}
 
--- a/src/group/sidecar.cpp
+++ b/src/group/sidecar.cpp
@@ -71,7 +71,7 @@
 			{
 				this->state.heardAt = nowMs();
 				logInfo("start", {{"version", kVersion}, {"zone", this->settings.place.zone}, {"engine", this->settings.upstream}, {"service", this->settings.service}, {"peers", this->address}, {"store", this->settings.place.store}, {"metrics", this->settings.place.metrics}});
-				sockaddr_in target = http::socketAddress(this->address);
+				sockaddr_in target = http::parseSocketAddress(this->address);
 				this->receiver = this->loop.network.getSockaddr(&target, sizeof(target))->listen();
 				const auto fatal = [](kj::Exception&& _error) {
 					logError("sidecar_failed", {{"reason", _error.getDescription().cStr()}, {"remedy", "restart the process and report this line"}});
@@ -93,9 +93,9 @@
 				return gateway::stopSignal(this->io.unixEventPort);
 			}
 
-			http::WholeAnswer adminAnswer(const http::RequestHead& _head)
+			http::FullResponse adminAnswer(const http::RequestHead& _head)
 			{
-				http::WholeAnswer answer{{200, {}, true}, ""};
+				http::FullResponse answer{{200, {}, true}, ""};
 				answer.body = "/dump" == _head.target ? (nullptr == this->state.coordinator ? std::string("{}\n") : this->state.coordinator->describe() + "\n") : this->metrics.serialize();
 				return answer;
 			}
@@ -308,7 +308,7 @@
 			const gateway::SidecarSettings settings;
 			const std::string path;
 			kj::AsyncIoContext& io;
-			http::LoopParts loop;
+			http::LoopContext loop;
 			Metrics metrics;
 			SidecarState state;
 			std::unique_ptr<store::TableStore> tableStore;
@@ -325,8 +325,8 @@
 
 	int runSidecar(const SidecarDeployment& _deployment, int _argc, char** _argv)
 	{
-		return gateway::guardMain("archdyke-sidecar", [&] {
-			const std::optional<std::string> path = gateway::settingsPath("archdyke-sidecar", "Stands beside one engine rank and coordinates its group when nobody else does.", _argc, _argv);
+		return gateway::runGuarded("archdyke-sidecar", [&] {
+			const std::optional<std::string> path = gateway::parseSettingsPath("archdyke-sidecar", "Stands beside one engine rank and coordinates its group when nobody else does.", _argc, _argv);
 			if (!path)
 			{
 				return;
--- a/src/group/sidecar.h
+++ b/src/group/sidecar.h
@@ -13,7 +13,7 @@
 		EngineCodec codec;
 		gateway::DocumentDecoders decoders;
 		store::TableNames tables;
-		std::unique_ptr<store::TableStore> (*makeStore)(http::LoopParts _loop, std::string _address);
+		std::unique_ptr<store::TableStore> (*makeStore)(http::LoopContext _loop, std::string _address);
 	};
 
 	/// @returns Exit code: 0, or 2 with a message when it can't start.
--- a/src/http/connection_pool.cpp
+++ b/src/http/connection_pool.cpp
@@ -20,9 +20,9 @@
 		/// Maximum number of idle connections per address: the slots that one gateway keeps busy at a loaded upstream.
 		constexpr std::size_t kMaxIdlePerAddress = 32;
 
-		aio::Task<WholeAnswer> readFullResponse(HttpConnection& _connection)
+		aio::Task<FullResponse> readFullResponse(HttpConnection& _connection)
 		{
-			WholeAnswer fullResponse;
+			FullResponse fullResponse;
 			while (true)
 			{
 				Part part = co_await _connection.next();
@@ -42,24 +42,24 @@
 			}
 		}
 
-		aio::Task<WholeAnswer> exchangeUntimed(ConnectionPool& _pool, std::string _address, RequestHead _head, std::string _body, Millis _timeoutMs)
+		aio::Task<FullResponse> exchangeUntimed(ConnectionPool& _pool, std::string _address, RequestHead _head, std::string _body, Millis _timeoutMs)
 		{
 			ConnectOptions options;
 			options.connectTimeoutMs = std::min(options.connectTimeoutMs, _timeoutMs);
 			Lease lease = co_await _pool.take(_address, options);
 			std::string bytes = serialize(_head, _body);
 			co_await lease.connection->write(std::move(bytes));
-			WholeAnswer fullResponse = co_await readFullResponse(*lease.connection);
+			FullResponse fullResponse = co_await readFullResponse(*lease.connection);
 			if (fullResponse.head.keepAlive)
 			{
 				constexpr Millis kIdleMs = 4'000;
-				_pool.giveBack(std::move(lease), kIdleMs);
+				_pool.returnToPool(std::move(lease), kIdleMs);
 			}
 			co_return fullResponse;
 		}
 	} // namespace
 
-	ConnectionPool::ConnectionPool(LoopParts _loop)
+	ConnectionPool::ConnectionPool(LoopContext _loop)
 	    : loop(_loop)
 	{
 	}
@@ -73,7 +73,7 @@
 		{
 			IdleConnection candidate = std::move(idleConnections.back());
 			idleConnections.pop_back();
-			const bool usable = !candidate.connection->hasUnread() && !candidate.connection->isGone() && now < candidate.until && now - candidate.since <= _options.maxIdleMs;
+			const bool usable = !candidate.connection->hasUnread() && !candidate.connection->isDisconnected() && now < candidate.until && now - candidate.since <= _options.maxIdleMs;
 			if (usable)
 			{
 				Lease lease;
@@ -88,7 +88,7 @@
 
 	aio::Task<Lease> ConnectionPool::connect(std::string _address, ConnectOptions _options)
 	{
-		sockaddr_in target = socketAddress(_address);
+		sockaddr_in target = parseSocketAddress(_address);
 		kj::Own<kj::NetworkAddress> destination = this->loop.network.getSockaddr(&target, sizeof(target));
 		kj::Own<kj::AsyncIoStream> stream = co_await this->loop.timer.timeoutAfter(_options.connectTimeoutMs * kj::MILLISECONDS, destination->connect());
 		stream->setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(kUserTimeoutMs));
@@ -99,10 +99,10 @@
 		co_return lease;
 	}
 
-	void ConnectionPool::giveBack(Lease _lease, Millis _idleLimitMs)
+	void ConnectionPool::returnToPool(Lease _lease, Millis _idleLimitMs)
 	{
 		std::deque<IdleConnection>& idleConnections = this->idle[_lease.address];
-		const bool sound = !_lease.connection->hasUnread() && !_lease.connection->isGone();
+		const bool sound = !_lease.connection->hasUnread() && !_lease.connection->isDisconnected();
 		if (!sound || _idleLimitMs <= 0 || idleConnections.size() >= kMaxIdlePerAddress)
 		{
 			return;
@@ -127,7 +127,7 @@
 		for (auto& [address, idleConnections] : this->idle)
 		{
 			std::erase_if(idleConnections, [&](const IdleConnection& _idle) {
-				return _idle.until <= now || _idle.connection->isGone() || _idle.connection->hasUnread();
+				return _idle.until <= now || _idle.connection->isDisconnected() || _idle.connection->hasUnread();
 			});
 		}
 		absl::erase_if(this->idle, [](const auto& _entry) {
@@ -135,7 +135,7 @@
 		});
 	}
 
-	kj::Promise<WholeAnswer> exchange(ConnectionPool& _pool, kj::Timer& _timer, std::string _address, RequestHead _head, std::string _body, Millis _timeoutMs)
+	kj::Promise<FullResponse> exchange(ConnectionPool& _pool, kj::Timer& _timer, std::string _address, RequestHead _head, std::string _body, Millis _timeoutMs)
 	{
 		return _timer.timeoutAfter(_timeoutMs * kj::MILLISECONDS, exchangeUntimed(_pool, std::move(_address), std::move(_head), std::move(_body), _timeoutMs).take());
 	}
--- a/src/http/connection_pool.h
+++ b/src/http/connection_pool.h
@@ -13,7 +13,7 @@
 namespace archdyke::http
 {
 	/// The parts of an event loop that connections need.
-	struct LoopParts
+	struct LoopContext
 	{
 		kj::Network& network;
 		kj::Timer& timer;
@@ -39,7 +39,7 @@
 	class ConnectionPool
 	{
 	public:
-		explicit ConnectionPool(LoopParts _loop);
+		explicit ConnectionPool(LoopContext _loop);
 
 		/// @param[in] _address "IP:port".
 		/// @returns An idle connection if there is a usable one, otherwise a new one.
@@ -52,7 +52,7 @@
 
 		/// Returns a connection to the pool after its exchange. A connection with unread bytes is closed.
 		/// @param[in] _idleLimitMs How long the other side keeps the idle connection open.
-		void giveBack(Lease _lease, Millis _idleLimitMs);
+		void returnToPool(Lease _lease, Millis _idleLimitMs);
 
 		/// @returns Number of connections opened since the start.
 		std::uint64_t opened() const;
@@ -68,22 +68,22 @@
 		/// Closes expired and disconnected idle connections, at most once per sweep interval.
 		void closeExpired();
 
-		LoopParts loop;
+		LoopContext loop;
 		absl::flat_hash_map<std::string, std::deque<IdleConnection>> idle;
 		std::uint64_t openedCount = 0;
 		Millis lastSweepAt = 0;
 	};
 
 	/// A complete response.
-	struct WholeAnswer
+	struct FullResponse
 	{
 		ResponseHead head;
 		std::string body;
 
-		bool operator==(const WholeAnswer&) const = default;
+		bool operator==(const FullResponse&) const = default;
 	};
 
 	/// Sends a request and reads the complete response.
 	/// @throws kj::Exception When no complete response arrives in time.
-	kj::Promise<WholeAnswer> exchange(ConnectionPool& _pool, kj::Timer& _timer, std::string _address, RequestHead _head, std::string _body, Millis _timeoutMs);
+	kj::Promise<FullResponse> exchange(ConnectionPool& _pool, kj::Timer& _timer, std::string _address, RequestHead _head, std::string _body, Millis _timeoutMs);
 } // namespace archdyke::http
--- a/src/http/http_connection.cpp
+++ b/src/http/http_connection.cpp
@@ -265,7 +265,7 @@
 		co_return part;
 	}
 
-	kj::Promise<void> HttpConnection::whenGone()
+	kj::Promise<void> HttpConnection::whenDisconnected()
 	{
 		return this->goneFork.addBranch();
 	}
@@ -280,7 +280,7 @@
 		return !this->parts.empty();
 	}
 
-	bool HttpConnection::isGone() const
+	bool HttpConnection::isDisconnected() const
 	{
 		return this->gone;
 	}
--- a/src/http/http_connection.h
+++ b/src/http/http_connection.h
@@ -65,7 +65,7 @@
 
 		/// @returns A promise that is fulfilled once the other side has closed or the connection broke,
 		/// even if parts are still unread.
-		kj::Promise<void> whenGone();
+		kj::Promise<void> whenDisconnected();
 
 		/// Writes all bytes.
 		/// @throws kj::Exception When the connection is broken.
@@ -75,7 +75,7 @@
 		bool hasUnread() const;
 
 		/// @returns Whether the other side has closed, or the connection broke.
-		bool isGone() const;
+		bool isDisconnected() const;
 
 		/// @returns Whether a message has been received in part.
 		bool isMidMessage() const;
--- a/src/http/http_listener.cpp
+++ b/src/http/http_listener.cpp
@@ -8,9 +8,9 @@
 {
 	namespace
 	{
-		kj::Own<kj::ConnectionReceiver> bind(LoopParts _loop, const std::string& _address)
+		kj::Own<kj::ConnectionReceiver> bind(LoopContext _loop, const std::string& _address)
 		{
-			sockaddr_in target = socketAddress(_address);
+			sockaddr_in target = parseSocketAddress(_address);
 			return _loop.network.getSockaddr(&target, sizeof(target))->listen();
 		}
 
@@ -26,7 +26,7 @@
 				}
 				else if (PartKind::End == part.kind)
 				{
-					WholeAnswer response = _handler(head);
+					FullResponse response = _handler(head);
 					response.head.keepAlive = head.keepAlive;
 					std::string bytes = serialize(response.head, response.body);
 					co_await _connection->write(std::move(bytes));
@@ -43,7 +43,7 @@
 		}
 	} // namespace
 
-	Listener::Listener(LoopParts _loop, const std::string& _address, ConnectionHandler _handler)
+	Listener::Listener(LoopContext _loop, const std::string& _address, ConnectionHandler _handler)
 	    : handler(std::move(_handler))
 	    , receiver(bind(_loop, _address))
 	    , connections(*this)
--- a/src/http/http_listener.h
+++ b/src/http/http_listener.h
@@ -14,14 +14,14 @@
 	using ConnectionHandler = std::function<aio::Task<void>(std::unique_ptr<HttpConnection>)>;
 
 	/// Creates the response to one request.
-	using RequestHandler = std::function<WholeAnswer(const RequestHead&)>;
+	using RequestHandler = std::function<FullResponse(const RequestHead&)>;
 
 	class Listener final : private kj::TaskSet::ErrorHandler
 	{
 	public:
 		/// Binds the address and starts to accept connections.
 		/// @throws kj::Exception When the address can't be bound.
-		Listener(LoopParts _loop, const std::string& _address, ConnectionHandler _handler);
+		Listener(LoopContext _loop, const std::string& _address, ConnectionHandler _handler);
 
 		/// @returns The port that was bound.
 		unsigned port();
--- a/src/http/http_message.cpp
+++ b/src/http/http_message.cpp
@@ -41,7 +41,7 @@
 	std::optional<std::string_view> Headers::find(std::string_view _name) const
 	{
 		const auto it = std::find_if(this->lines.begin(), this->lines.end(), [&](const Header& _header) {
-			return sameName(_header.name, _name);
+			return equalHeaderNames(_header.name, _name);
 		});
 		return this->lines.end() == it ? std::nullopt : std::optional<std::string_view>(it->value);
 	}
@@ -51,12 +51,12 @@
 		this->lines.push_back({std::string(_name), std::string(_value)});
 	}
 
-	bool sameName(std::string_view _a, std::string_view _b)
+	bool equalHeaderNames(std::string_view _a, std::string_view _b)
 	{
 		return absl::EqualsIgnoreCase(asAbsl(_a), asAbsl(_b));
 	}
 
-	std::optional<std::int64_t> parseWhole(std::string_view _text)
+	std::optional<std::int64_t> parseInteger(std::string_view _text)
 	{
 		std::int64_t value = 0;
 		return absl::SimpleAtoi(asAbsl(_text), &value) ? std::optional(value) : std::nullopt;
@@ -65,7 +65,7 @@
 	bool isConnectionHeader(std::string_view _name)
 	{
 		return std::any_of(kConnectionHeaders.begin(), kConnectionHeaders.end(), [&](std::string_view _other) {
-			return sameName(_name, _other);
+			return equalHeaderNames(_name, _other);
 		});
 	}
 
--- a/src/http/http_message.h
+++ b/src/http/http_message.h
@@ -33,10 +33,10 @@
 	};
 
 	/// @returns Whether two header names are equal, ignoring case.
-	bool sameName(std::string_view _a, std::string_view _b);
+	bool equalHeaderNames(std::string_view _a, std::string_view _b);
 
 	/// @returns The integer in a text; none when the text is anything else.
-	std::optional<std::int64_t> parseWhole(std::string_view _text);
+	std::optional<std::int64_t> parseInteger(std::string_view _text);
 
 	/// Head of a request.
 	struct RequestHead
--- a/src/http/socket_address.cpp
+++ b/src/http/socket_address.cpp
@@ -7,7 +7,7 @@
 
 namespace archdyke::http
 {
-	sockaddr_in socketAddress(const std::string& _address)
+	sockaddr_in parseSocketAddress(const std::string& _address)
 	{
 		const Address parsed = parseAddress(_address);
 		sockaddr_in socket{};
--- a/src/http/socket_address.h
+++ b/src/http/socket_address.h
@@ -8,5 +8,5 @@
 {
 	/// @param[in] _address "IP:port", IPv4.
 	/// @throws InvalidInputError When the text isn't such an address.
-	sockaddr_in socketAddress(const std::string& _address);
+	sockaddr_in parseSocketAddress(const std::string& _address);
 } // namespace archdyke::http
--- a/src/store/read_whole.cpp
+++ b/src/store/read_whole.cpp
@@ -2,7 +2,7 @@
 
 namespace archdyke::store
 {
-	aio::Task<Rows> readWhole(TableStore& _store, std::string _table)
+	aio::Task<Rows> readFullTable(TableStore& _store, std::string _table)
 	{
 		const std::string none;
 		Rows all = co_await _store.read(_table, none, none);
--- a/src/store/table_news.cpp
+++ b/src/store/table_news.cpp
@@ -112,7 +112,7 @@
 		}
 	} // namespace
 
-	void takeRows(FollowedTable& _table, const Rows& _rows, bool _whole)
+	void mergeRows(FollowedTable& _table, const Rows& _rows, bool _whole)
 	{
 		if (_rows.version < _table.version)
 		{
@@ -126,7 +126,7 @@
 				rows[row.key.key] = row;
 			}
 			keepOnly(_table, rows);
-			_table.wholeAt = _rows.version;
+			_table.fullReadVersion = _rows.version;
 		}
 		for (const Row& row : _rows.rows)
 		{
@@ -136,7 +136,7 @@
 		_table.storeTime = std::max(_table.storeTime, _rows.storeTime);
 	}
 
-	bool takeNews(FollowedTable& _table, const TableNews& _news)
+	bool mergeNews(FollowedTable& _table, const TableNews& _news)
 	{
 		const bool fits = _news.whole || 0 != _table.version; // changes can't be applied to an empty replica
 		if (!_news.storeTime || _news.version < _table.version || !fits)
@@ -156,7 +156,7 @@
 		if (_news.whole)
 		{
 			keepOnly(_table, resolved.rows);
-			_table.wholeAt = _news.version;
+			_table.fullReadVersion = _news.version;
 		}
 		for (const auto& [key, row] : resolved.rows)
 		{
@@ -176,7 +176,7 @@
 		}
 		news.storeTime = _table.storeTime;
 		news.version = _table.version;
-		news.whole = _since < _table.wholeAt;
+		news.whole = _since < _table.fullReadVersion;
 		for (const auto& [key, row] : _table.rows)
 		{
 			if (news.whole ? row.gone : row.version <= _since)
@@ -199,7 +199,7 @@
 		Rows rows;
 		rows.version = _table.version;
 		rows.storeTime = _table.storeTime;
-		const bool whole = _since < _table.wholeAt;
+		const bool whole = _since < _table.fullReadVersion;
 		for (const auto& [key, row] : _table.rows)
 		{
 			if (whole ? !row.gone : _since < row.version)
@@ -216,7 +216,7 @@
 		{
 			return {};
 		}
-		std::uint64_t changedAt = _operators.wholeAt;
+		std::uint64_t changedAt = _operators.fullReadVersion;
 		for (const auto& [key, row] : _operators.rows)
 		{
 			changedAt = std::max(changedAt, row.version);
@@ -229,7 +229,7 @@
 		return {_tables.operators.version, _tables.crashes.version, _tables.upstreams.version};
 	}
 
-	std::vector<Row> inOrderOfWriting(std::vector<Row> _rows)
+	std::vector<Row> sortedByVersion(std::vector<Row> _rows)
 	{
 		std::sort(_rows.begin(), _rows.end(), [](const Row& _a, const Row& _b) {
 			return _a.version < _b.version;
--- a/src/store/table_news.h
+++ b/src/store/table_news.h
@@ -37,7 +37,7 @@
 	{
 		std::map<std::string, Row> rows;                      ///< By key; removed rows are kept and marked as gone.
 		std::map<std::string, std::deque<Row>> earlierValues; ///< By key: the latest earlier long values of a row, oldest first.
-		std::uint64_t wholeAt = 0;                            ///< Version of the last full read; removals before it aren't known.
+		std::uint64_t fullReadVersion = 0;                    ///< Version of the last full read; removals before it aren't known.
 		std::uint64_t version = 0;                            ///< 0: not read yet.
 		std::optional<Millis> storeTime;                      ///< The store's clock at its last response.
 	};
@@ -69,12 +69,12 @@
 	using TableVersions = PerTable<std::uint64_t>; ///< Newest known version of each table; 0: not read yet.
 
 	/// Applies a response of the store: a full table, or the changes since a known version.
-	void takeRows(FollowedTable& _table, const Rows& _rows, bool _whole);
+	void mergeRows(FollowedTable& _table, const Rows& _rows, bool _whole);
 
 	/// Applies an update from another process. Updates older than the replica are ignored.
 	/// @returns false when a difference can't be applied: the replica is then cleared, so that the next update is a
 	/// full snapshot.
-	bool takeNews(FollowedTable& _table, const TableNews& _news);
+	bool mergeNews(FollowedTable& _table, const TableNews& _news);
 
 	/// @returns The update for a receiver that knows the table up to a version, 0 for none.
 	TableNews newsSince(const FollowedTable& _table, std::uint64_t _since);
@@ -92,5 +92,5 @@
 
 	/// @returns The rows ordered by their last write. A full read is ordered by key, where the row of a killed
 	/// process may come after that of its successor.
-	std::vector<Row> inOrderOfWriting(std::vector<Row> _rows);
+	std::vector<Row> sortedByVersion(std::vector<Row> _rows);
 } // namespace archdyke::store
--- a/src/store/table_store.h
+++ b/src/store/table_store.h
@@ -39,7 +39,7 @@
 		std::optional<Millis> storeTime; ///< The store's steady clock at the time of the response.
 		Millis sentAt = 0;               ///< Local clock when the call was sent.
 		bool more = false;               ///< For reads: there are more rows after these.
-		bool historyGone = false;        ///< For change feeds: the history is truncated and the table must be read again.
+		bool historyTruncated = false;   ///< For change feeds: the history is truncated and the table must be read again.
 
 		bool operator==(const Rows&) const = default;
 	};
@@ -74,7 +74,7 @@
 	};
 
 	/// Maximum number of rows in one RowChanges.
-	constexpr std::size_t kMostChanges = 100;
+	constexpr std::size_t kMaxRowChanges = 100;
 
 	/// All calls throw kj::Exception when there is no response; a write may have been done nevertheless.
 	class TableStore
--- a/tests/gateway_rig.h
+++ b/tests/gateway_rig.h
@@ -61,7 +61,7 @@
 	};
 
 	/// Response as received by a caller.
-	struct RigAnswer
+	struct RigResponse
 	{
 		int status = 0; ///< 0: no complete response.
 		std::string body;
@@ -88,11 +88,11 @@
 			return result && 200 == result->status;
 		}
 
-		RigAnswer call(const std::string& _target, const httplib::Headers& _headers) const
+		RigResponse call(const std::string& _target, const httplib::Headers& _headers) const
 		{
 			httplib::Client client = clientOf(this->callers);
 			const httplib::Result result = client.Get(_target, _headers);
-			return result ? RigAnswer{result->status, result->body, result->headers} : RigAnswer();
+			return result ? RigResponse{result->status, result->body, result->headers} : RigResponse();
 		}
 
 		/// Waits until the gateway is ready and knows the given number of upstreams.
@@ -183,7 +183,7 @@
 			return {{"Host", "office.example"}, {"X-Archdyke-Request-Id", _request}, {"X-Archdyke-Deadline-Ms", std::to_string(_patienceMs)}, {"X-Api-Key", _key}};
 		}
 
-		RigAnswer call(const std::string& _target, const httplib::Headers& _headers) const
+		RigResponse call(const std::string& _target, const httplib::Headers& _headers) const
 		{
 			return this->gateway.call(_target, _headers);
 		}
--- a/tests/group_rig.h
+++ b/tests/group_rig.h
@@ -187,11 +187,11 @@
 		/// A caller's request through a gateway.
 		/// @param[in] _patienceMs What the caller has left.
 		/// @returns Status; the body names the group that ran it.
-		RigAnswer call(const std::string& _gateway, const std::string& _request, Millis _patienceMs = 1'500) const
+		RigResponse call(const std::string& _gateway, const std::string& _request, Millis _patienceMs = 1'500) const
 		{
 			httplib::Client client = clientOf(this->gatewayCallers.at(_gateway));
 			const httplib::Result result = client.Get("/safe/x", GatewayRig::headersFor(_request, _patienceMs));
-			return result ? RigAnswer{result->status, result->body, result->headers} : RigAnswer();
+			return result ? RigResponse{result->status, result->body, result->headers} : RigResponse();
 		}
 
 		/// @returns What a gateway says of a group; null when it doesn't know it.
--- a/tests/test_evacuation.cpp
+++ b/tests/test_evacuation.cpp
@@ -79,7 +79,7 @@
 			}
 			rows.version = _upTo;
 			rows.storeTime = Millis(_upTo) + 1;
-			store::takeRows(this->followed, rows, _whole);
+			store::mergeRows(this->followed, rows, _whole);
 			this->applyChanges(known);
 			this->provenAt = std::max(this->provenAt, _upTo);
 		}
@@ -96,7 +96,7 @@
 			const std::uint64_t known = this->followed.version;
 			if (_rows)
 			{
-				store::takeNews(this->followed, store::newsSince(_sender.followed, known));
+				store::mergeNews(this->followed, store::newsSince(_sender.followed, known));
 				this->applyChanges(known);
 			}
 			this->told = std::max(this->told, _sender.proof());
@@ -121,7 +121,7 @@
 					zones.push_back({row.key.key, row.version, row.gone});
 				}
 			}
-			applyEvacuationRows(this->table, zones, rows.version, _known < this->followed.wholeAt);
+			applyEvacuationRows(this->table, zones, rows.version, _known < this->followed.fullReadVersion);
 		}
 	};
 
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -15,7 +15,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/safe/sheet?do=ok", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/safe/sheet?do=ok", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "GET /safe/sheet?do=ok ");
 	cr_assert(answer.headers.contains("X-Archdyke-Server-Stamp"));
@@ -37,7 +37,7 @@
 	rig.waitReady();
 	for (int call = 0; call < 12; ++call)
 	{
-		const RigAnswer answer = rig.call("/once/x?do=shed&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
+		const RigResponse answer = rig.call("/once/x?do=shed&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
 		cr_assert(200 == answer.status);
 	}
 }
@@ -46,7 +46,7 @@
 {
 	GatewayRig rig({"a", "b"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/once/x?do=shed", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x?do=shed", GatewayRig::headersFor("r1"));
 	cr_assert(503 == answer.status);
 	cr_assert(answer.headers.contains("Retry-After"));
 	cr_assert(0 == runsOf(rig, "r1"));
@@ -59,7 +59,7 @@
 	for (const char* trouble : {"cut", "garbage", "unsigned", "encoded"})
 	{
 		const std::string request = std::string("once-") + trouble;
-		const RigAnswer answer = rig.call(std::string("/once/x?do=") + trouble, GatewayRig::headersFor(request));
+		const RigResponse answer = rig.call(std::string("/once/x?do=") + trouble, GatewayRig::headersFor(request));
 		cr_assert(502 == answer.status, "%s: %d", trouble, answer.status);
 		cr_assert(1 == runsOf(rig, request), "%s ran %d times", trouble, runsOf(rig, request));
 	}
@@ -74,7 +74,7 @@
 		for (int call = 0; call < 4; ++call)
 		{
 			const std::string target = fmt::format("/safe/x?do={}&only=a", trouble);
-			const RigAnswer answer = rig.call(target, GatewayRig::headersFor(fmt::format("{}-{}", trouble, call)));
+			const RigResponse answer = rig.call(target, GatewayRig::headersFor(fmt::format("{}-{}", trouble, call)));
 			cr_assert(200 == answer.status, "%s: %d", trouble, answer.status);
 		}
 	}
@@ -84,7 +84,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/once/x?do=foreign", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x?do=foreign", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "GET /once/x?do=foreign ");
 }
@@ -93,7 +93,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/once/x?do=unframed", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x?do=unframed", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "GET /once/x?do=unframed ");
 }
@@ -103,7 +103,7 @@
 	GatewayRig rig({"a"});
 	rig.waitReady();
 	const Millis begun = nowMs();
-	const RigAnswer answer = rig.call("/once/x?do=hang", GatewayRig::headersFor("r1", 400));
+	const RigResponse answer = rig.call("/once/x?do=hang", GatewayRig::headersFor("r1", 400));
 	const Millis took = nowMs() - begun;
 	cr_assert(504 == answer.status);
 	cr_assert(400 <= took && took < 900, "took %d ms", int(took));
@@ -267,7 +267,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	std::future<RigAnswer> stream = std::async(std::launch::async, [&] {
+	std::future<RigResponse> stream = std::async(std::launch::async, [&] {
 		return rig.call("/stream/x?do=stream", GatewayRig::headersFor("r1"));
 	});
 	cr_assert(lab::waitUntil(2'000, [&] {
@@ -277,7 +277,7 @@
 	cr_assert(lab::waitUntil(1'000, [&] {
 		return !rig.isReady();
 	}));
-	const RigAnswer answer = stream.get();
+	const RigResponse answer = stream.get();
 	cr_assert(200 == answer.status && answer.body == allEvents());
 	cr_assert(rig.gateway.process->waitForExit(6'000) == 0);
 }
@@ -346,7 +346,7 @@
 	for (int call = 0; call < 30; ++call)
 	{
 		const Millis before = nowMs();
-		const RigAnswer answer = rig.call("/safe/x?do=ok", GatewayRig::headersFor(fmt::format("call-{}", call)));
+		const RigResponse answer = rig.call("/safe/x?do=ok", GatewayRig::headersFor(fmt::format("call-{}", call)));
 		unanswered += 200 == answer.status ? 0 : 1;
 		slow += nowMs() - before > 600 ? 1 : 0;
 	}
--- a/tests/test_gateway_cold.cpp
+++ b/tests/test_gateway_cold.cpp
@@ -68,7 +68,7 @@
 		for (int call = 0; nowMs() < _until; ++call)
 		{
 			const Millis begun = nowMs();
-			const RigAnswer answer = _rig.call("/safe/x?do=ok", GatewayRig::headersFor(fmt::format("flood-{}-{}", _caller, call)));
+			const RigResponse answer = _rig.call("/safe/x?do=ok", GatewayRig::headersFor(fmt::format("flood-{}-{}", _caller, call)));
 			const bool refusedAtOnce = 503 == answer.status && "cold_upstreams\n" == answer.body && answer.headers.contains("Retry-After") && nowMs() - begun < kMaxRefusalMs;
 			(200 == answer.status ? _end.served : refusedAtOnce ? _end.refused
 			                                                    : _end.other) += 1;
--- a/tests/test_gateway_crashes.cpp
+++ b/tests/test_gateway_crashes.cpp
@@ -17,7 +17,7 @@
 
 	constexpr const char* kReason = "crashes_upstreams\n";
 
-	bool isRefusedForCrashes(const RigAnswer& _answer)
+	bool isRefusedForCrashes(const RigResponse& _answer)
 	{
 		return 503 == _answer.status && kReason == _answer.body;
 	}
@@ -69,10 +69,10 @@
 		}
 
 		/// Sends a request that crashes upstreams through one gateway, then restarts them.
-		RigAnswer crash(std::size_t _gateway, const std::string& _target, Millis _timeoutMs = 1'500)
+		RigResponse crash(std::size_t _gateway, const std::string& _target, Millis _timeoutMs = 1'500)
 		{
 			this->calls += 1;
-			const RigAnswer answer = this->gateways[_gateway].call(_target, GatewayRig::headersFor("crash-" + std::to_string(this->calls), _timeoutMs));
+			const RigResponse answer = this->gateways[_gateway].call(_target, GatewayRig::headersFor("crash-" + std::to_string(this->calls), _timeoutMs));
 			lab::pauseMs(kCrashCheckMs);
 			this->restartEnded();
 			return answer;
@@ -148,12 +148,12 @@
 	std::size_t refused = 0;
 	for (std::size_t call = 0; call < 2 * rig.gateways.size(); ++call)
 	{
-		const RigAnswer answer = rig.crash(call % rig.gateways.size(), target);
+		const RigResponse answer = rig.crash(call % rig.gateways.size(), target);
 		refused += 503 == answer.status ? 1 : 0;
 	}
 	cr_assert(before == rig.crashed, "%zu more upstreams ended after the first %zu", rig.crashed - before, before);
 	cr_assert(2 * rig.gateways.size() == refused);
-	const RigAnswer other = rig.gateways[0].call("/safe/y?do=ok", GatewayRig::headersFor("other"));
+	const RigResponse other = rig.gateways[0].call("/safe/y?do=ok", GatewayRig::headersFor("other"));
 	cr_assert(200 == other.status, "others are served");
 }
 
@@ -168,7 +168,7 @@
 	for (const RigGateway& gateway : rig.gateways)
 	{
 		const Millis begun = nowMs();
-		const RigAnswer answer = gateway.call(target, GatewayRig::headersFor("at-once"));
+		const RigResponse answer = gateway.call(target, GatewayRig::headersFor("at-once"));
 		cr_assert(isRefusedForCrashes(answer), "%d %s", answer.status, answer.body.c_str());
 		cr_assert(nowMs() - begun < kMaxRefusalMs);
 		cr_assert(kMinRetryAfterS < std::stod(answer.headers.find("Retry-After")->second));
@@ -217,7 +217,7 @@
 	CrashRig rig(6, 2);
 	const std::string target = "/open/x?do=crash"; // a public route, which needs no proof of a key
 	rig.rig.store.control({{"mode", "silent"}});
-	RigAnswer answer;
+	RigResponse answer;
 	for (int call = 0; call < 3; ++call) // two attempts each, so the third one is refused
 	{
 		answer = rig.gateways[0].call(target, GatewayRig::headersFor("away-" + std::to_string(call)));
@@ -242,7 +242,7 @@
 	for (std::size_t round = 0; round < kRounds; ++round)
 	{
 		std::vector<std::thread> callers;
-		std::vector<RigAnswer> answers(kStreams);
+		std::vector<RigResponse> answers(kStreams);
 		for (int stream = 0; stream < kStreams; ++stream)
 		{
 			callers.emplace_back([&, stream] {
@@ -256,7 +256,7 @@
 		{
 			caller.join();
 		}
-		for (const RigAnswer& answer : answers)
+		for (const RigResponse& answer : answers)
 		{
 			cr_assert(200 == answer.status && allEvents() == answer.body, "%d %s", answer.status, answer.body.c_str());
 		}
--- a/tests/test_gateway_evacuation.cpp
+++ b/tests/test_gateway_evacuation.cpp
@@ -93,7 +93,7 @@
 	rig.evacuate("there");
 	cr_assert(rig.waitForEvacuated({"here", "there"}));
 	const Millis begun = nowMs();
-	const RigAnswer answer = rig.call("/once/x", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x", GatewayRig::headersFor("r1"));
 	cr_assert(503 == answer.status && nowMs() - begun < 300, "%d after %d ms", answer.status, int(nowMs() - begun));
 	cr_assert(answer.headers.contains("Retry-After"));
 	cr_assert_str_eq(answer.body.c_str(), "evacuated\n");
--- a/tests/test_gateway_self_report.cpp
+++ b/tests/test_gateway_self_report.cpp
@@ -90,7 +90,7 @@
 	triggerBackOff(rig, rig.workers[0]);
 	const Millis askedAt = triggerBackOff(rig, rig.workers[1]);
 	const Millis begun = nowMs();
-	const RigAnswer refusal = rig.call("/once/x?do=ok", GatewayRig::headersFor("refused", kCallerTimeoutMs));
+	const RigResponse refusal = rig.call("/once/x?do=ok", GatewayRig::headersFor("refused", kCallerTimeoutMs));
 	cr_assert(503 == refusal.status && "back_off\n" == refusal.body, "%d %s", refusal.status, refusal.body.c_str());
 	cr_assert(nowMs() - begun < kMaxRefusalMs);
 	cr_assert(0 == countArrivals(rig.workers[0], {"refused"}) + countArrivals(rig.workers[1], {"refused"}));
--- a/tests/test_gateway_streams.cpp
+++ b/tests/test_gateway_streams.cpp
@@ -12,7 +12,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/stream/x?do=stream", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/stream/x?do=stream", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert(answer.body == allEvents());
 }
@@ -23,7 +23,7 @@
 	rig.waitReady();
 	for (int call = 0; call < 4; ++call)
 	{
-		const RigAnswer answer = rig.call("/stream/x?do=break", GatewayRig::headersFor(fmt::format("r{}", call)));
+		const RigResponse answer = rig.call("/stream/x?do=break", GatewayRig::headersFor(fmt::format("r{}", call)));
 		cr_assert(200 == answer.status);
 		cr_assert(answer.body == allEvents());
 	}
@@ -35,7 +35,7 @@
 	rig.waitReady();
 	for (int call = 0; call < 4; ++call)
 	{
-		const RigAnswer answer = rig.call("/stream/x?do=skip&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
+		const RigResponse answer = rig.call("/stream/x?do=skip&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
 		cr_assert(0 == answer.status || answer.body == allEvents());
 	}
 }
@@ -47,7 +47,7 @@
 	rig.waitReady();
 	for (int call = 0; call < 6; ++call)
 	{
-		const RigAnswer answer = rig.call("/stream/x?do=jump&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
+		const RigResponse answer = rig.call("/stream/x?do=jump&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
 		cr_assert(200 == answer.status);
 		cr_assert(answer.body == allEvents());
 	}
@@ -59,7 +59,7 @@
 	rig.waitReady();
 	httplib::Headers headers = GatewayRig::headersFor("r1");
 	headers.emplace("Last-Event-Id", "9");
-	const RigAnswer answer = rig.call("/stream/x?do=stream", headers);
+	const RigResponse answer = rig.call("/stream/x?do=stream", headers);
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "id: 10\ndata: piece 10\n\nid: 11\ndata: piece 11\n\nid: 12\ndata: piece 12\n\n");
 }
@@ -85,7 +85,7 @@
 	rig.retryAllowance = 0.0;
 	rig.startGateway();
 	rig.waitReady();
-	RigAnswer answer;
+	RigResponse answer;
 	std::thread caller([&rig, &answer] {
 		answer = rig.call("/stream/x?do=stream", GatewayRig::headersFor("long", 8'000));
 	});
--- a/tests/test_group_news.cpp
+++ b/tests/test_group_news.cpp
@@ -44,7 +44,7 @@
 			const std::string key = "upstream-" + std::to_string(index);
 			upstreams.rows[key] = row(key, upstreams.version);
 		}
-		upstreams.wholeAt = 1;
+		upstreams.fullReadVersion = 1;
 		return knowledge;
 	}
 
@@ -58,10 +58,10 @@
 Test(groupnews, the_newest_term_and_number_win)
 {
 	GroupKnowledge knowledge;
-	takeNews(knowledge, {news(2, 1), {}, {}}, 100);
-	takeNews(knowledge, {news(1, 9), {}, {}}, 200);
+	mergeNews(knowledge, {news(2, 1), {}, {}}, 100);
+	mergeNews(knowledge, {news(1, 9), {}, {}}, 200);
 	cr_assert(2 == knowledge.news.coordination.term && 100 == knowledge.newsAt);
-	takeNews(knowledge, {news(2, 2), {}, {}}, 300);
+	mergeNews(knowledge, {news(2, 2), {}, {}}, 300);
 	cr_assert(2 == knowledge.news.number && 350 - 300 == newsFor(knowledge, {}, 350).news.ageMs);
 }
 
@@ -92,9 +92,9 @@
 		told.roster = knowledge.roster; // it comes before the list
 		if (0 == child % 2)
 		{
-			takeNews(told, newsFor(knowing(10), {}, 0), 50); // it has the first of them already
+			mergeNews(told, newsFor(knowing(10), {}, 0), 50); // it has the first of them already
 		}
-		takeNews(told, fanOut.newsWithin(heldOf(told)), 100);
+		mergeNews(told, fanOut.newsWithin(heldOf(told)), 100);
 		cr_assert(5 == told.news.number, "the state of the group comes always");
 		const store::FollowedTable& list = told.tables.upstreams;
 		cr_assert(list.rows.size() == list.version, "%zu rows up to %lu", list.rows.size(), static_cast<unsigned long>(list.version));
@@ -102,7 +102,7 @@
 	}
 	cr_assert(1 <= whole && whole <= 2, "%zu of 13 at once, 56 KB each over a link of 750 KB/s", whole);
 	GroupKnowledge unheard;
-	takeNews(unheard, fanOut.newsWithin(std::nullopt), 100);
+	mergeNews(unheard, fanOut.newsWithin(std::nullopt), 100);
 	cr_assert(0 == unheard.tables.upstreams.version && 0 == unheard.roster.version);
 }
 
@@ -116,10 +116,10 @@
 	std::vector<GroupKnowledge> children(23);
 	for (GroupKnowledge& child : children)
 	{
-		takeNews(child, fanOut.newsWithin(heldOf(child)), 100);
+		mergeNews(child, fanOut.newsWithin(heldOf(child)), 100);
 		cr_assert(1 == child.roster.version);
 	}
-	takeNews(children.front(), fanOut.newsWithin(heldOf(children.front())), 200);
+	mergeNews(children.front(), fanOut.newsWithin(heldOf(children.front())), 200);
 	cr_assert(130 == children.front().tables.upstreams.rows.size());
 }
 
@@ -127,12 +127,12 @@
 {
 	store::FollowedTable table;
 	const store::TableNews changes{100, 9, false, {row("x", 9)}, {}};
-	store::takeNews(table, changes);
+	store::mergeNews(table, changes);
 	cr_assert(0 == table.version);
-	store::takeNews(table, {100, 8, true, {row("a", 3), row("b", 8)}, {}});
-	store::takeNews(table, changes);
+	store::mergeNews(table, {100, 8, true, {row("a", 3), row("b", 8)}, {}});
+	store::mergeNews(table, changes);
 	cr_assert(9 == table.version && 3 == table.rows.size());
-	store::takeNews(table, {90, 7, true, {}, {}});
+	store::mergeNews(table, {90, 7, true, {}, {}});
 	cr_assert(3 == table.rows.size(), "an older one changes nothing");
 }
 
@@ -183,11 +183,11 @@
 	rows.rows = {{{"", "", "config"}, std::string(35'000, 'c'), 200, false}};
 	rows.version = 200;
 	rows.storeTime = 100;
-	store::takeRows(knowledge.tables.operators, rows, true);
+	store::mergeRows(knowledge.tables.operators, rows, true);
 	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, knowledge);
 	GroupKnowledge told;
 	told.roster = knowledge.roster;
-	takeNews(told, fanOut.newsWithin(heldOf(told)), 100);
+	mergeNews(told, fanOut.newsWithin(heldOf(told)), 100);
 	cr_assert(200 == told.tables.operators.version && 0 == told.tables.upstreams.version);
 	const NewsBundle proofAlone = fanOut.newsWithin(HeldVersions());
 	cr_assert(0 == proofAlone.tables.operators.version && 5 == proofAlone.news.number, "the link's share is used up");
--- a/tests/test_groups.cpp
+++ b/tests/test_groups.cpp
@@ -18,7 +18,7 @@
 		std::map<std::string, int> counts;
 		for (int call = 0; call < _calls; ++call)
 		{
-			const RigAnswer answer = _rig.call(kGateway, fmt::format("{}-{}", _prefix, call));
+			const RigResponse answer = _rig.call(kGateway, fmt::format("{}-{}", _prefix, call));
 			counts[200 == answer.status ? answer.body : ""] += 1;
 		}
 		return counts;
@@ -92,7 +92,7 @@
 		cr_assert(rig.waitForGroup(kGateway, group, true));
 	}
 	const Millis before = nowMs();
-	const RigAnswer answer = rig.call(kGateway, "none");
+	const RigResponse answer = rig.call(kGateway, "none");
 	cr_assert(503 == answer.status && answer.headers.contains("Retry-After"));
 	cr_assert(nowMs() - before < 300);
 }
@@ -113,7 +113,7 @@
 		cr_assert(rig.waitForGroup(kGateway, group, true));
 	}
 	rig.groups[0].control({{"formAnew", true}, {"broken", false}});
-	const RigAnswer answer = rig.call(kGateway, "again", kLeftMs);
+	const RigResponse answer = rig.call(kGateway, "again", kLeftMs);
 	cr_assert(200 == answer.status && "g-0" == answer.body, "%d %s", answer.status, answer.body.c_str());
 }
 
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -220,7 +220,7 @@
 		try
 		{
 			const UpstreamRecord record = platform::decodeUpstream("i-1", text);
-			RC_ASSERT(0 != http::socketAddress(record.address).sin_port);
+			RC_ASSERT(0 != http::parseSocketAddress(record.address).sin_port);
 			RC_ASSERT(!record.service.empty() && 0 < record.slots && 0 <= record.startedAt && 0 <= record.coldForMs.value_or(0));
 		}
 		catch (const InvalidInputError&)
--- a/tests/test_store_news.cpp
+++ b/tests/test_store_news.cpp
@@ -32,8 +32,8 @@
 Test(storenews, an_update_contains_changes_and_removals_since_a_version)
 {
 	FollowedTable table;
-	takeRows(table, rows({row("a", "A", 3), row("b", "B", 5)}, 6, 100), true);
-	takeRows(table, rows({row("a", "", 8, true), row("c", "C", 9)}, 9, 200), false);
+	mergeRows(table, rows({row("a", "A", 3), row("b", "B", 5)}, 6, 100), true);
+	mergeRows(table, rows({row("a", "", 8, true), row("c", "C", 9)}, 9, 200), false);
 	const TableNews news = newsSince(table, 6);
 	cr_assert(!news.whole && 200 == news.storeTime && 9 == news.version && 2 == news.rows.size());
 	cr_assert(news.rows[0].gone && "a" == news.rows[0].key.key);
@@ -44,8 +44,8 @@
 Test(storenews, a_receiver_older_than_the_full_read_gets_all_keys)
 {
 	FollowedTable table;
-	takeRows(table, rows({row("a", "A", 3), row("b", "B", 5)}, 6, 100), true);
-	takeRows(table, rows({row("c", "", 7, true)}, 7, 200), false);
+	mergeRows(table, rows({row("a", "A", 3), row("b", "B", 5)}, 6, 100), true);
+	mergeRows(table, rows({row("c", "", 7, true)}, 7, 200), false);
 	const TableNews news = newsSince(table, 4);
 	cr_assert(news.whole && 2 == news.rows.size());
 	cr_assert(news.rows[0].value.empty() && "B" == news.rows[1].value, "a row that the receiver has is sent without its value");
@@ -54,8 +54,8 @@
 Test(storenews, a_full_read_drops_missing_rows)
 {
 	FollowedTable table;
-	takeRows(table, rows({row("a", "A", 3)}, 6, 100), true);
-	takeRows(table, rows({row("b", "B", 8)}, 9, 200), true);
+	mergeRows(table, rows({row("a", "A", 3)}, 6, 100), true);
+	mergeRows(table, rows({row("b", "B", 8)}, 9, 200), true);
 	const TableNews news = newsSince(table, 6);
 	cr_assert(news.whole && 1 == news.rows.size() && "b" == news.rows[0].key.key);
 }
@@ -89,11 +89,11 @@
 {
 	FollowedTable table;
 	cr_assert(ConfigurationProof() == proofOf(table));
-	takeRows(table, rows({row("a", "A", 3), row("b", "B", 5)}, 6, 100), true);
+	mergeRows(table, rows({row("a", "A", 3), row("b", "B", 5)}, 6, 100), true);
 	cr_assert(proofOf(table) == (ConfigurationProof{100, 6}));
-	takeRows(table, rows({}, 8, 200), false);
+	mergeRows(table, rows({}, 8, 200), false);
 	cr_assert(proofOf(table) == (ConfigurationProof{200, 6}), "nothing has changed since");
-	takeRows(table, rows({row("a", "", 9, true)}, 9, 300), false);
+	mergeRows(table, rows({row("a", "", 9, true)}, 9, 300), false);
 	cr_assert(proofOf(table) == (ConfigurationProof{300, 9}));
 }
 
@@ -114,15 +114,15 @@
 Test(storenews, a_changed_long_row_is_sent_as_a_difference)
 {
 	FollowedTable sender;
-	takeRows(sender, rows({row("long", longValue(1), 3)}, 3, 100), true);
+	mergeRows(sender, rows({row("long", longValue(1), 3)}, 3, 100), true);
 	FollowedTable receiver;
-	cr_assert(takeNews(receiver, newsSince(sender, 0)) && longValue(1) == receiver.rows["long"].value);
+	cr_assert(mergeNews(receiver, newsSince(sender, 0)) && longValue(1) == receiver.rows["long"].value);
 	for (int version = 4; version < 20; ++version)
 	{
-		takeRows(sender, rows({row("long", longValue(version), std::uint64_t(version))}, std::uint64_t(version), 100 * version), false);
+		mergeRows(sender, rows({row("long", longValue(version), std::uint64_t(version))}, std::uint64_t(version), 100 * version), false);
 		const TableNews news = newsSince(sender, receiver.version);
 		cr_assert(news.rows.empty() && 1 == news.differences.size() && news.differences[0].difference.size() < 200);
-		cr_assert(takeNews(receiver, news) && longValue(version) == receiver.rows["long"].value);
+		cr_assert(mergeNews(receiver, news) && longValue(version) == receiver.rows["long"].value);
 	}
 	const TableNews late = newsSince(sender, 3);
 	cr_assert(1 == late.rows.size() && late.differences.empty(), "the value at that version is no longer kept");
@@ -131,28 +131,28 @@
 Test(storenews, a_difference_that_does_not_fit_is_dropped_and_the_full_row_sent)
 {
 	FollowedTable sender;
-	takeRows(sender, rows({row("long", longValue(1), 3)}, 3, 100), true);
+	mergeRows(sender, rows({row("long", longValue(1), 3)}, 3, 100), true);
 	FollowedTable receiver;
-	takeNews(receiver, newsSince(sender, 0));
-	takeRows(sender, rows({row("long", longValue(2), 4)}, 4, 200), false);
+	mergeNews(receiver, newsSince(sender, 0));
+	mergeRows(sender, rows({row("long", longValue(2), 4)}, 4, 200), false);
 	const TableNews news = newsSince(sender, 3);
 	TableNews broken = news;
 	broken.differences[0].difference.resize(20);
 	FollowedTable another = receiver;
-	cr_assert(!takeNews(another, broken) && 0 == another.version);
-	cr_assert(takeNews(another, newsSince(sender, another.version)) && longValue(2) == another.rows["long"].value);
+	cr_assert(!mergeNews(another, broken) && 0 == another.version);
+	cr_assert(mergeNews(another, newsSince(sender, another.version)) && longValue(2) == another.rows["long"].value);
 	// An update based on a value that was replaced in the meantime is ignored.
 	FollowedTable ahead = receiver;
-	takeRows(ahead, rows({row("long", longValue(9), 9)}, 9, 300), false);
-	cr_assert(takeNews(ahead, news) && 9 == ahead.version && longValue(9) == ahead.rows["long"].value);
+	mergeRows(ahead, rows({row("long", longValue(9), 9)}, 9, 300), false);
+	cr_assert(mergeNews(ahead, news) && 9 == ahead.version && longValue(9) == ahead.rows["long"].value);
 	TableNews fromUnknown = news;
 	fromUnknown.version = 12;
-	cr_assert(takeNews(ahead, fromUnknown) && 9 == ahead.version && longValue(9) == ahead.rows["long"].value);
+	cr_assert(mergeNews(ahead, fromUnknown) && 9 == ahead.version && longValue(9) == ahead.rows["long"].value);
 }
 
 /// Tables are ordered by key; of two processes at one address the one registered last is valid.
 Test(storenews, rows_are_ordered_by_their_last_write)
 {
-	const std::vector<Row> ordered = inOrderOfWriting({row("a", "A", 9), row("b", "B", 3), row("c", "C", 5)});
+	const std::vector<Row> ordered = sortedByVersion({row("a", "A", 9), row("b", "B", 3), row("c", "C", 5)});
 	cr_assert("b" == ordered[0].key.key && "c" == ordered[1].key.key && "a" == ordered[2].key.key);
 }
--- a/tests/test_suspend.cpp
+++ b/tests/test_suspend.cpp
@@ -27,7 +27,7 @@
 			this->rig.waitReady();
 		}
 
-		RigAnswer call(const std::string& _request, const std::string& _target = "/safe/x?do=ok") const
+		RigResponse call(const std::string& _request, const std::string& _target = "/safe/x?do=ok") const
 		{
 			return this->gateway.call(_target, GatewayRig::headersFor(_request));
 		}
@@ -48,7 +48,7 @@
 	rig.clock.suspend(*rig.gateway.process, kShortMs, [] {});
 	cr_assert(200 == rig.call("short").status, "a short sleep ends no key");
 	rig.clock.suspend(*rig.gateway.process, kLongMs, [] {});
-	const RigAnswer answer = rig.call("after");
+	const RigResponse answer = rig.call("after");
 	cr_assert(503 == answer.status && "stale_proof\n" == answer.body, "%d %s", answer.status, answer.body.c_str());
 	cr_assert(0 == runsOf(rig.rig, "after"));
 	cr_assert(200 == rig.call("public", "/open/x?do=ok").status);
@@ -65,7 +65,7 @@
 	constexpr Millis kBeforeMs = 200; // of the 1,500 that its caller waits
 	constexpr Millis kSoonMs = 600;
 	SuspendRig rig;
-	RigAnswer answer;
+	RigResponse answer;
 	Millis answeredAt = 0;
 	std::thread caller([&] {
 		answer = rig.call("under-way", "/once/x?do=hang");
@@ -86,7 +86,7 @@
 	bool allAsked = false;
 	for (int call = 0; call < 40 && !allAsked; ++call)
 	{
-		const RigAnswer answer = rig.call("ask-" + std::to_string(call), "/once/x?do=shed&restS=2");
+		const RigResponse answer = rig.call("ask-" + std::to_string(call), "/once/x?do=shed&restS=2");
 		allAsked = 503 == answer.status && "back_off\n" == answer.body;
 	}
 	cr_assert(allAsked);
@@ -109,7 +109,7 @@
 		}
 	});
 	lab::pauseMs(2'000);
-	const RigAnswer answer = rig.call("slept", target);
+	const RigResponse answer = rig.call("slept", target);
 	cr_assert(503 == answer.status && "crashes_upstreams\n" == answer.body, "%d %s", answer.status, answer.body.c_str());
 	cr_assert(0 == runsOf(rig.rig, "slept"));
 }
--- a/tests/test_tries.cpp
+++ b/tests/test_tries.cpp
@@ -47,11 +47,11 @@
 	/// An upstream that responds to each request at once.
 	struct AnsweringUpstream
 	{
-		AnsweringUpstream(http::LoopParts _loop, std::string _name)
+		AnsweringUpstream(http::LoopContext _loop, std::string _name)
 		    : name(std::move(_name))
 		    , listener(_loop, "127.0.0.1:0", http::serveRequests([this](const http::RequestHead&) {
 			               this->arrivals += 1;
-			               http::WholeAnswer answer{{200, {}, true}, "done"};
+			               http::FullResponse answer{{200, {}, true}, "done"};
 			               answer.head.headers.add(kIdHeader, "r1");
 			               return answer;
 		               }))
@@ -105,7 +105,7 @@
 		}
 
 		kj::AsyncIoContext io = kj::setupAsyncIo();
-		http::LoopParts loop{io.provider->getNetwork(), io.provider->getTimer()};
+		http::LoopContext loop{io.provider->getNetwork(), io.provider->getTimer()};
 		Metrics metrics;
 		GatewayCounters counters{metrics};
 		GatewayState state{GatewaySettings(), Codec{decodeRequest, encodeDispatch, decodeAnswer, encodeAnswer, encodeRefusal}, loop, counters, 1};
--- a/tools/stub_ranks.cpp
+++ b/tools/stub_ranks.cpp
@@ -85,7 +85,7 @@
 						std::optional<std::string> answer = this->answer(_rank, head, body);
 						if (!answer)
 						{
-							co_await _connection->whenGone(); // no answer, ever
+							co_await _connection->whenDisconnected(); // no answer, ever
 							co_return;
 						}
 						co_await _connection->write(std::move(*answer));
@@ -97,7 +97,7 @@
 				}
 			}
 
-			http::LoopParts loop;
+			http::LoopContext loop;
 
 		private:
 			void form()
--- a/tools/stub_worker.cpp
+++ b/tools/stub_worker.cpp
@@ -106,7 +106,7 @@
 				}
 			}
 
-			http::LoopParts loop;
+			http::LoopContext loop;
 
 		private:
 			std::string headerOf(const Call& _call, const char* _name) const
@@ -236,8 +236,8 @@
 				bool keep = true;
 				if ("hang" == _what)
 				{
-					co_await this->loop.timer.afterDelay(kHangMs * kj::MILLISECONDS).exclusiveJoin(_connection.whenGone());
-					_record.left += _connection.isGone() ? 1 : 0;
+					co_await this->loop.timer.afterDelay(kHangMs * kj::MILLISECONDS).exclusiveJoin(_connection.whenDisconnected());
+					_record.left += _connection.isDisconnected() ? 1 : 0;
 					co_return false;
 				}
 				if ("fail" == _what)
@@ -294,11 +294,11 @@
 					co_await _connection.write(std::move(piece));
 					co_return false;
 				}
-				const std::optional<std::int64_t> after = http::parseWhole(_record.resumedAfter);
+				const std::optional<std::int64_t> after = http::parseInteger(_record.resumedAfter);
 				for (std::uint64_t event = after ? std::uint64_t(*after) + 1 : 1; event <= kEvents; ++event)
 				{
 					co_await this->loop.timer.afterDelay(kEventMs * kj::MILLISECONDS);
-					if (_connection.isGone())
+					if (_connection.isDisconnected())
 					{
 						_record.left += 1;
 						co_return false;
