--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -48,7 +48,7 @@
 without two-choices src/decide/upstream_choice.cpp 'const std::size_t second = usable[randomBelow(_random, usable.size())];' 'const std::size_t second = first;'
 without own-zone-rank src/decide/upstream_choice.cpp 'constexpr double kZoneAdvantage = 0.02;' 'constexpr double kZoneAdvantage = 0.0;'
 without own-zone-group src/decide/group_choice.cpp 'local.empty() ? best : local' 'best'
-without groups-in-time-first src/decide/group_choice.cpp 'GroupStanding::InTime != _candidate.standing};' 'false};'
+without groups-in-time-first src/decide/group_choice.cpp 'GroupStatus::InTime != _candidate.standing};' 'false};'
 without admission src/decide/batch_admission.cpp 'return _view.meanLoad + 1.0 <= limit' 'return true || _view.meanLoad + 1.0 <= limit'
 without waiting-for-room src/decide/batch_admission.cpp 'constexpr double kWaitShare = ' 'constexpr double kWaitShare = 0.0 * '
 without room-for-returning src/decide/batch_admission.cpp 'constexpr double kMoreForReturning = 2.0;' 'constexpr double kMoreForReturning = 0.0;'
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -50,7 +50,7 @@
 mutant no-claims "once_the_same_key_through_two_entries_runs_once|once_an_entry_killed_after_its_claim_leaves_the_key_in_doubt" src/entry/entry_http.cpp \
 	'if (_exchange.request.repeatable || _exchange.caller.idempotencyKey.empty())' 'if (true)'
 mutant retry-whatever-is-proved "retry_.*|outcome_seeded_faults_at_random_moments|outcome_frozen_and_killed_agents_are_never_told_as_not_run" src/decide/retry.cpp \
-	'const bool mayRepeat = Proof::NotRun == _try.proof || _try.repeatable;' 'const bool mayRepeat = true;'
+	'const bool mayRepeat = ExecutionProof::NotRun == _try.proof || _try.repeatable;' 'const bool mayRepeat = true;'
 mutant commit-on-own-vote "mapswitch_.*|map_agents_killed_in_a_switch_find_their_vote_again|map_frozen_and_cut_agents_hold_the_group_together" src/decide/mapswitch.cpp \
 	'const bool all = !_switch.votes.empty() && std::all_of(_switch.votes.begin(), _switch.votes.end(), is(MapVote::Yes));' 'const bool all = !_switch.votes.empty() && MapVote::Yes == _switch.votes[_switch.rank];'
 mutant head-moves-first "config_a_zone_cut_from_the_platform_learns_from_its_peers|config_a_zone_cut_from_all_serves_and_is_waited_for" src/operator/apply.cpp \
@@ -73,7 +73,7 @@
 mutant gateway-trusts-old-keys "gateway_keys_hold_only_while_the_newest_configuration_is_proved|gateway_an_unreadable_configuration_leaves_keys_unproved" src/gateway/request.cpp \
 	'if (!isProofYoungerThan(_context.state, _context.state.settings.bounds.revocationMs - kProofMarginMs))' 'if (false)'
 mutant gateway-calls-silence-not-run "gateway_what_may_have_run_is_never_reported_as_not_run_nor_run_twice" src/gateway/relay.cpp \
-	'failed(Proof::Unknown, "no_answer_head")' 'failed(Proof::NotRun, "no_answer_head")'
+	'failed(ExecutionProof::Unknown, "no_answer_head")' 'failed(ExecutionProof::NotRun, "no_answer_head")'
 mutant gateway-takes-any-answer "gateway_a_response_to_another_request_is_skipped" src/gateway/relay.cpp \
 	'if (info.requestId == _context.caller.id)' 'if (true)'
 mutant gateway-takes-older-configurations "gateway_an_older_configuration_is_never_taken" src/gateway/watch_rows.cpp \
@@ -85,7 +85,7 @@
 mutant group-uses-a-boundary-again "forward_.*" src/decide/forward_switch.cpp \
 	'return std::max(newestStep(_ranks) + _marginSteps, _intent.boundary + 1);' 'return newestStep(_ranks) + _marginSteps;'
 mutant gateway-takes-proofs-of-another-row "evacuation_.*" src/decide/evacuation.cpp \
-	'return _table.knownUpTo < _changedAt;' 'return false;'
+	'return _table.knownVersion < _changedAt;' 'return false;'
 mutant gateway-trusts-old-news "group_gateways_ask_the_store_themselves_while_nobody_tells" src/gateway/watch_news.cpp \
 	'constexpr Millis kMaxUpdateAgeMs = 700;' 'constexpr Millis kMaxUpdateAgeMs = 700'"'"'000;' \
 	'constexpr double kMaxNewsAgeShareOfChange = 0.6;' 'constexpr double kMaxNewsAgeShareOfChange = 600.0;'
@@ -113,7 +113,7 @@
 mutant gateway-tells-nobody-of-crashes "gateway_all_of_many_gateways_refuse_a_request_soon_after_its_third_crash" src/gateway/crash_teller.cpp \
 	'if (!isWriteDue(record, now) ||' 'if (true ||'
 mutant gateway-clears-nobody-of-crashes "gateway_bystanders_of_crashes_are_served_and_cleared" src/gateway/crashes.cpp \
-	'noteRun(record.runs, hashOf(_context), nowMs());' 'return;'
+	'recordCompletion(record.runs, hashOf(_context), nowMs());' 'return;'
 mutant deadline-by-one-timer "suspend_a_request_whose_deadline_passes_in_a_sleep_ends_when_the_machine_wakes" src/gateway/request.cpp \
 	'std::clamp<Millis>(_moment - nowMs(), 1, kPollIntervalMs)' 'std::max<Millis>(_moment - nowMs(), 1)'
 mutant clock-that-sleeps "suspend_keys_hold_no_longer_after_a_sleep" src/base/process.cpp \
