--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -90,16 +90,16 @@
 	'constexpr Millis kToldMaxAgeMs = 700;' 'constexpr Millis kToldMaxAgeMs = 700'"'"'000;' \
 	'constexpr double kNewsShareOfChange = 0.6;' 'constexpr double kNewsShareOfChange = 600.0;'
 mutant sidecar-takes-over-from-a-living-coordinator "group_ranks_that_start_together_agree_on_one_coordinator" src/group/sidecar.cpp \
-	'if (!this->coordinatorIsGone())
+	'if (!this->coordinatorTimedOut())
 					{
-						continue; // it was heard while the engine was asked' 'if (false)
+						continue; // a coordinator was heard while the engine was asked' 'if (false)
 					{
-						continue; // it was heard while the engine was asked' \
-	'if (!this->coordinatorIsGone())
+						continue; // a coordinator was heard while the engine was asked' \
+	'if (!this->coordinatorTimedOut())
 					{
-						co_return; // it was heard while the row was read' 'if (false)
+						co_return; // a coordinator was heard while the row was read' 'if (false)
 					{
-						co_return; // it was heard while the row was read'
+						co_return; // a coordinator was heard while the row was read'
 mutant planner-ignores-paces "mappolicy_a_slow_rank_is_given_less" src/decide/map_policy.cpp \
 	'input.paces = _paces;' ''
 mutant gateway-sends-to-evacuated-zones "gatewayevacuation_an_evacuated_zone_gets_nothing_until_it_is_taken_back" src/gateway/board.cpp \
--- a/src/group/branch.cpp
+++ b/src/group/branch.cpp
@@ -9,15 +9,15 @@
 {
 	namespace
 	{
-		/// @returns The number as its field holds it; larger ones as the largest.
+		/// @returns The number, limited to the maximum of its field.
 		template <typename Field>
 		Field clamped(std::uint64_t _number)
 		{
 			return Field(std::min<std::uint64_t>(_number, std::numeric_limits<Field>::max()));
 		}
 
-		/// What ranks of a group share as a rule, so that it is told once: a rank takes 24 bytes
-		/// then, in place of 150.
+		/// The part of a report that is usually the same for all ranks of a group. It is sent once, so that a
+		/// rank takes 24 bytes instead of 150.
 		EngineReport sharedPart(const EngineReport& _report)
 		{
 			EngineReport shared;
@@ -33,7 +33,7 @@
 			EngineReport shared;
 			shared.group = _reader.getGroup().cStr();
 			shared.ranks = _reader.getRanks();
-			shared.view = {true, _reader.getEpoch(), _reader.getOpen(), 0, _reader.getMap(), fromNone(_reader.getPrepared()), fromNone(_reader.getArmed()), fromNone(_reader.getHeld())};
+			shared.view = {true, _reader.getEpoch(), _reader.getOpen(), 0, _reader.getMap(), decodeOptional(_reader.getPrepared()), decodeOptional(_reader.getArmed()), decodeOptional(_reader.getHeld())};
 			return shared;
 		}
 
@@ -44,12 +44,12 @@
 			_builder.setEpoch(_shared.view.epoch);
 			_builder.setOpen(_shared.view.open);
 			_builder.setMap(_shared.view.map);
-			_builder.setPrepared(orNone(_shared.view.prepared));
-			_builder.setArmed(orNone(_shared.view.armed));
-			_builder.setHeld(orNone(_shared.view.held));
+			_builder.setPrepared(encodeOptional(_shared.view.prepared));
+			_builder.setArmed(encodeOptional(_shared.view.armed));
+			_builder.setHeld(encodeOptional(_shared.view.held));
 		}
 
-		void writeChild(rpc::ChildState::Builder _builder, const ChildSight& _child, std::size_t _place, std::size_t _shared, std::uint64_t _leastStep)
+		void writeChild(rpc::ChildState::Builder _builder, const ChildSnapshot& _child, std::size_t _place, std::size_t _shared, std::uint64_t _leastStep)
 		{
 			_builder.setChild(std::uint16_t(_place));
 			_builder.setShared(std::uint16_t(_shared));
@@ -61,13 +61,13 @@
 			_builder.setPace(float(_child.report.pace));
 		}
 
-		/// Children as two lists, of what they share and of each.
+		/// Writes children as two lists: the shared parts, and what differs for each child.
 		template <typename Builder>
-		void writeChildren(Builder _builder, const std::vector<ChildSight>& _children, const std::vector<std::string>& _engines)
+		void writeChildren(Builder _builder, const std::vector<ChildSnapshot>& _children, const std::vector<std::string>& _engines)
 		{
 			std::vector<EngineReport> shared;
 			std::uint64_t leastStep = _children.empty() ? 0 : std::numeric_limits<std::uint64_t>::max();
-			for (const ChildSight& child : _children)
+			for (const ChildSnapshot& child : _children)
 			{
 				leastStep = std::min(leastStep, child.report.view.step);
 			}
@@ -93,27 +93,27 @@
 		}
 
 		template <typename Reader>
-		std::vector<ChildSight> readChildren(Reader _reader, const std::vector<std::string>& _engines)
+		std::vector<ChildSnapshot> readChildren(Reader _reader, const std::vector<std::string>& _engines)
 		{
 			std::vector<EngineReport> shared;
 			for (const auto state : _reader.getShared())
 			{
 				shared.push_back(readShared(state));
 			}
-			std::vector<ChildSight> children;
+			std::vector<ChildSnapshot> children;
 			for (const auto child : _reader.getChildren())
 			{
 				if (child.getChild() >= _engines.size() || child.getShared() >= shared.size())
 				{
-					continue; // a relay of another version: the rank counts as unseen
+					continue; // from a relay of another version; the rank counts as unseen
 				}
-				ChildSight sight{_engines[child.getChild()], shared[child.getShared()], child.getAgeMs()};
-				sight.report.rank = child.getRank();
-				sight.report.queued = child.getQueued();
-				sight.report.active = child.getActive();
-				sight.report.view.step = _reader.getLeastStep() + child.getStepsAhead();
-				sight.report.pace = child.getPace();
-				children.push_back(std::move(sight));
+				ChildSnapshot snapshot{_engines[child.getChild()], shared[child.getShared()], child.getAgeMs()};
+				snapshot.report.rank = child.getRank();
+				snapshot.report.queued = child.getQueued();
+				snapshot.report.active = child.getActive();
+				snapshot.report.view.step = _reader.getLeastStep() + child.getStepsAhead();
+				snapshot.report.pace = child.getPace();
+				children.push_back(std::move(snapshot));
 			}
 			return children;
 		}
@@ -139,47 +139,47 @@
 		}
 	} // namespace
 
-	BranchQuestion readBranchQuestion(rpc::RankDaemon::RelayParams::Reader _reader)
+	BranchQuery readBranchQuery(rpc::RankDaemon::RelayParams::Reader _reader)
 	{
 		return {readCoordination(_reader.getCoordination()), readEngines(_reader.getEngines()), Millis(_reader.getPatienceMs()), _reader.getCounted()};
 	}
 
-	void writeBranchQuestion(rpc::RankDaemon::RelayParams::Builder _builder, const BranchQuestion& _question)
+	void writeBranchQuery(rpc::RankDaemon::RelayParams::Builder _builder, const BranchQuery& _query)
 	{
-		writeCoordination(_builder.initCoordination(), _question.coordination);
-		writeEngines(_builder.initEngines(unsigned(_question.engines.size())), _question.engines);
-		_builder.setPatienceMs(clamped<std::uint16_t>(std::uint64_t(_question.patienceMs)));
-		_builder.setCounted(clamped<std::uint16_t>(_question.counted));
+		writeCoordination(_builder.initCoordination(), _query.coordination);
+		writeEngines(_builder.initEngines(unsigned(_query.engines.size())), _query.engines);
+		_builder.setPatienceMs(clamped<std::uint16_t>(std::uint64_t(_query.maxWaitMs)));
+		_builder.setCounted(clamped<std::uint16_t>(_query.enginesWithCounts));
 	}
 
-	BranchSight readBranchSight(rpc::RankDaemon::RelayResults::Reader _reader, const std::vector<std::string>& _engines)
+	BranchSnapshot readBranchSnapshot(rpc::RankDaemon::RelayResults::Reader _reader, const std::vector<std::string>& _engines)
 	{
-		BranchSight sight;
-		sight.newest = readCoordination(_reader.getNewest());
-		sight.tookMs = _reader.getTookMs();
-		sight.children = readChildren(_reader, _engines);
+		BranchSnapshot snapshot;
+		snapshot.newest = readCoordination(_reader.getNewest());
+		snapshot.tookMs = _reader.getTookMs();
+		snapshot.children = readChildren(_reader, _engines);
 		const RankReport counts = readReport(_reader.getChoices());
-		sight.choices = {counts.choices.epoch, Millis(_reader.getChoicesSpanMs()), counts.choices.choices};
-		sight.gateways = readTally(_reader.getGateways());
-		sight.held = readHeld(_reader.getHeld());
-		return sight;
+		snapshot.choices = {counts.choices.epoch, Millis(_reader.getChoicesSpanMs()), counts.choices.choices};
+		snapshot.gateways = readTally(_reader.getGateways());
+		snapshot.held = readHeld(_reader.getHeld());
+		return snapshot;
 	}
 
-	void writeBranchSight(rpc::RankDaemon::RelayResults::Builder _builder, const BranchSight& _sight, const std::vector<std::string>& _engines)
+	void writeBranchSnapshot(rpc::RankDaemon::RelayResults::Builder _builder, const BranchSnapshot& _snapshot, const std::vector<std::string>& _engines)
 	{
-		writeCoordination(_builder.initNewest(), _sight.newest);
-		_builder.setTookMs(clamped<std::uint32_t>(std::uint64_t(_sight.tookMs)));
-		writeChildren(_builder, _sight.children, _engines);
-		if (!_sight.choices.choices.empty())
+		writeCoordination(_builder.initNewest(), _snapshot.newest);
+		_builder.setTookMs(clamped<std::uint32_t>(std::uint64_t(_snapshot.tookMs)));
+		writeChildren(_builder, _snapshot.children, _engines);
+		if (!_snapshot.choices.choices.empty())
 		{
 			RankReport counts;
-			counts.choices.epoch = _sight.choices.epoch;
-			counts.choices.choices = _sight.choices.choices;
+			counts.choices.epoch = _snapshot.choices.epoch;
+			counts.choices.choices = _snapshot.choices.choices;
 			writeReport(_builder.initChoices(), counts);
-			_builder.setChoicesSpanMs(clamped<std::uint32_t>(std::uint64_t(_sight.choices.spanMs)));
+			_builder.setChoicesSpanMs(clamped<std::uint32_t>(std::uint64_t(_snapshot.choices.spanMs)));
 		}
-		writeTally(_builder.initGateways(), _sight.gateways);
-		writeHeld(_builder.initHeld(), _sight.held);
+		writeTally(_builder.initGateways(), _snapshot.gateways);
+		writeHeld(_builder.initHeld(), _snapshot.held);
 	}
 
 	BranchOrder readBranchOrder(rpc::RankDaemon::RelayOrdersParams::Reader _reader)
@@ -194,7 +194,7 @@
 		auto batch = _builder.initBatch();
 		writeOrder(batch.initOrder(), _order.order, _order.difference);
 		writeEngines(batch.initEngines(unsigned(_order.engines.size())), _order.engines);
-		_builder.setPatienceMs(clamped<std::uint16_t>(std::uint64_t(_order.patienceMs)));
+		_builder.setPatienceMs(clamped<std::uint16_t>(std::uint64_t(_order.maxWaitMs)));
 	}
 
 	BranchOutcome readBranchOutcome(rpc::RankDaemon::RelayOrdersResults::Reader _reader, const std::vector<std::string>& _engines)
--- a/src/group/branch.h
+++ b/src/group/branch.h
@@ -1,5 +1,5 @@
-/// A branch of the tree in which a coordinator looks at its ranks and orders them: some daemons that
-/// one process, the coordinator or a relay, speaks with.
+/// Messages of a branch of the tree through which a coordinator polls its ranks and sends them orders.
+/// The daemons of a branch are contacted by one process, the coordinator or a relay.
 #pragma once
 
 #include "group/group_news.h"
@@ -7,73 +7,74 @@
 
 namespace archdyke::group
 {
-	/// Which engines to look at.
-	struct BranchQuestion
+	/// A request to poll the daemons of some engines.
+	struct BranchQuery
 	{
 		Coordination coordination;
-		std::vector<std::string> engines; ///< IP:port.
-		Millis patienceMs = 0;            ///< Those that haven't answered by then are told as last seen.
-		std::size_t counted = 0;          ///< Of how many, the first ones, the counts are asked.
+		std::vector<std::string> engines;  ///< IP:port.
+		Millis maxWaitMs = 0;              ///< For daemons that haven't responded by then the last report is returned.
+		std::size_t enginesWithCounts = 0; ///< How many engines, from the first one on, are asked for counts.
 
-		bool operator==(const BranchQuestion&) const = default;
+		bool operator==(const BranchQuery&) const = default;
 	};
 
-	/// What a daemon told of its rank.
-	struct ChildSight
+	/// The last report of a daemon about its rank.
+	struct ChildSnapshot
 	{
 		std::string engine;
 		EngineReport report;
-		Millis ageMs = 0; ///< Since its daemon told it, when the branch's answer was made.
+		Millis ageMs = 0; ///< Age of the report when the branch's response was made.
 
-		bool operator==(const ChildSight&) const = default;
+		bool operator==(const ChildSnapshot&) const = default;
 	};
 
-	/// Choices of several ranks, added up.
+	/// Sum of the expert choices of several ranks.
 	struct ChoiceSum
 	{
 		std::uint64_t epoch = 0;
-		Millis spanMs = 0;                  ///< Longest time in which one of them was made.
+		Millis spanMs = 0;                  ///< Longest period that one of the samples covers.
 		std::vector<std::uint32_t> choices; ///< Set by set; empty: none.
 
 		bool operator==(const ChoiceSum&) const = default;
 	};
 
-	struct BranchSight
+	/// The response to a branch query.
+	struct BranchSnapshot
 	{
-		Coordination newest; ///< That the branch's process heard of.
-		Millis tookMs = 0;   ///< From the question to the answer there.
-		std::vector<ChildSight> children;
+		Coordination newest; ///< The newest coordinator that the branch's process knows.
+		Millis tookMs = 0;   ///< Time between query and response in the branch's process.
+		std::vector<ChildSnapshot> children;
 		ChoiceSum choices;
-		GatewayTally gateways; ///< That ask the daemons of the branch.
-		HeldVersions held;     ///< What the branch's process has.
+		GatewayTally gateways; ///< Gateways that poll the daemons of the branch.
+		HeldVersions held;     ///< Versions that the branch's process has.
 
-		bool operator==(const BranchSight&) const = default;
+		bool operator==(const BranchSnapshot&) const = default;
 	};
 
-	/// One order for some engines.
+	/// One order for several engines.
 	struct BranchOrder
 	{
 		Coordination coordination;
 		EngineOrder order;
-		MapDifference difference; ///< Of a prepare.
+		MapDifference difference; ///< Only for a prepare order.
 		std::vector<std::string> engines;
-		Millis patienceMs = 0;
+		Millis maxWaitMs = 0;
 	};
 
 	struct BranchOutcome
 	{
-		std::vector<std::optional<OrderOutcome>> outcomes; ///< By engine; none: its daemon said nothing.
+		std::vector<std::optional<OrderOutcome>> outcomes; ///< By engine; none: its daemon didn't respond.
 		Millis tookMs = 0;
-		std::vector<ChildSight> children; ///< As seen after the order.
+		std::vector<ChildSnapshot> children; ///< Reports after the order.
 
 		bool operator==(const BranchOutcome&) const = default;
 	};
 
-	BranchQuestion readBranchQuestion(rpc::RankDaemon::RelayParams::Reader _reader);
-	void writeBranchQuestion(rpc::RankDaemon::RelayParams::Builder _builder, const BranchQuestion& _question);
-	/// @param[in] _engines Of the question.
-	BranchSight readBranchSight(rpc::RankDaemon::RelayResults::Reader _reader, const std::vector<std::string>& _engines);
-	void writeBranchSight(rpc::RankDaemon::RelayResults::Builder _builder, const BranchSight& _sight, const std::vector<std::string>& _engines);
+	BranchQuery readBranchQuery(rpc::RankDaemon::RelayParams::Reader _reader);
+	void writeBranchQuery(rpc::RankDaemon::RelayParams::Builder _builder, const BranchQuery& _query);
+	/// @param[in] _engines The engines of the query.
+	BranchSnapshot readBranchSnapshot(rpc::RankDaemon::RelayResults::Reader _reader, const std::vector<std::string>& _engines);
+	void writeBranchSnapshot(rpc::RankDaemon::RelayResults::Builder _builder, const BranchSnapshot& _snapshot, const std::vector<std::string>& _engines);
 	BranchOrder readBranchOrder(rpc::RankDaemon::RelayOrdersParams::Reader _reader);
 	void writeBranchOrder(rpc::RankDaemon::RelayOrdersParams::Builder _builder, const BranchOrder& _order);
 	BranchOutcome readBranchOutcome(rpc::RankDaemon::RelayOrdersResults::Reader _reader, const std::vector<std::string>& _engines);
--- a/src/group/coordination.h
+++ b/src/group/coordination.h
@@ -10,8 +10,8 @@
 	{
 		std::string group;
 		std::uint64_t term = 0;
-		std::string address; ///< IP:port of the coordinator's process; empty: nobody was heard.
-		bool storeLost = false;
+		std::string address;    ///< IP:port of the coordinator's process; empty: no coordinator was heard.
+		bool storeLost = false; ///< The coordinator can't reach the store.
 
 		bool operator==(const Coordination&) const = default;
 	};
--- a/src/group/coordinator.cpp
+++ b/src/group/coordinator.cpp
@@ -11,36 +11,36 @@
 {
 	namespace
 	{
-		/// Between two decisions, ms: small against a pass, and takes 2 in 100 of the smallest VM.
-		constexpr Millis kTickMs = 8;
-		/// Between two looks while maps are copied (0.1 s an expert), ms.
-		constexpr Millis kPreparingLookMs = 25;
-		/// Between two looks while the group may stand at the boundary, ms.
-		constexpr Millis kSwitchingLookMs = 8;
-		/// A look costs some 60 us a daemon that is asked from here; this keeps it below a tenth of a
-		/// core.
-		constexpr double kLookMsPerMessage = 0.6;
-		constexpr double kIdleLookMsPerMessage = 2.0;
-		/// A group that can't be planned for is told so often, ms.
-		constexpr Millis kPlanHeldUpMs = 2'000;
-		/// A switch that isn't prepared by then is abandoned, ms; beyond the time of its copies.
-		constexpr Millis kPrepareMs = 2'500;
-		/// A boundary that isn't held by then is abandoned, ms: the rank that is to hold it is away.
-		constexpr Millis kHoldMs = 1'500;
-		/// The same while a rank isn't heard of, ms: the group may stand meanwhile, and callers wait for
-		/// each token. Ten looks, so that one that was lost abandons nothing.
-		constexpr Millis kHoldUnreachableMs = 200;
-		/// Time from the choice of a boundary to a released hold, ms, beside the write and some
-		/// looks at all ranks: a hold, the arms, a release.
-		constexpr double kArmMs = 50.0;
-		constexpr double kArmLooks = 2.5;
-		/// Steps between a boundary and the newest one, at most, beside those that pass during the
-		/// write: a group without requests has short passes.
+		/// Interval between decisions, ms: short compared with a pass, and costs 2 % of the smallest VM.
+		constexpr Millis kDecisionIntervalMs = 8;
+		/// Poll interval while maps are copied (0.1 s per expert), ms.
+		constexpr Millis kPreparingPollIntervalMs = 25;
+		/// Poll interval while the group may be stalled at the boundary, ms.
+		constexpr Millis kSwitchingPollIntervalMs = 8;
+		/// A poll costs about 60 us per daemon polled from here; these intervals keep polling below a
+		/// tenth of a core.
+		constexpr double kPollMsPerMessage = 0.6;
+		constexpr double kIdlePollMsPerMessage = 2.0;
+		/// Interval between warnings that no map can be planned, ms.
+		constexpr Millis kPlanBlockedLogIntervalMs = 2'000;
+		/// A switch that isn't prepared in this time is abandoned, ms; longer than its copies take.
+		constexpr Millis kPreparePhaseTimeoutMs = 2'500;
+		/// A boundary that isn't held in this time is abandoned, ms: the rank that should hold is unavailable.
+		constexpr Millis kHoldTimeoutMs = 1'500;
+		/// The same while a rank is unreachable, ms: the group may be stalled, and callers wait for every
+		/// token. Ten polls, so that a single lost poll doesn't abandon the switch.
+		constexpr Millis kUnreachableHoldTimeoutMs = 200;
+		/// Time from the choice of a boundary to the released hold (hold, arms, release), ms, in addition to
+		/// the write and a few polls of all ranks.
+		constexpr double kArmDurationMs = 50.0;
+		constexpr double kArmPolls = 2.5;
+		/// Maximum distance of a boundary from the newest step, in addition to the steps that pass during the
+		/// write. Limits it for a group without requests, whose passes are short.
 		constexpr double kMaxMarginSteps = 16.0;
-		/// Table of the groups' rows.
+		/// Store table of the groups' rows.
 		constexpr const char* kTable = "archdyke_groups";
 
-		class QuietErrors final : public kj::TaskSet::ErrorHandler
+		class LoggingErrorHandler final : public kj::TaskSet::ErrorHandler
 		{
 		public:
 			void taskFailed(kj::Exception&& _error) override
@@ -60,16 +60,16 @@
 		return {kTable, _group, _service};
 	}
 
-	Coordinator::Coordinator(CoordinatorParts _parts, std::string _group, SwitchIntent _row, std::uint64_t _rowVersion)
-	    : parts(std::move(_parts))
+	Coordinator::Coordinator(CoordinatorDependencies _dependencies, std::string _group, SwitchIntent _row, std::uint64_t _rowVersion)
+	    : dependencies(std::move(_dependencies))
 	    , group(std::move(_group))
 	    , intent(std::move(_row))
 	    , history(historyOf(this->intent))
 	    , rowVersion(_rowVersion)
 	    , rowReadAt(nowMs())
 	    , phaseSince(nowMs())
-	    , mapCounters(this->parts.metrics)
-	    , errors(kj::heap<QuietErrors>())
+	    , mapCounters(this->dependencies.metrics)
+	    , errors(kj::heap<LoggingErrorHandler>())
 	    , tasks(*this->errors)
 	{
 	}
@@ -84,30 +84,30 @@
 		return SwitchPhase::Idle != this->intent.phase;
 	}
 
-	double Coordinator::messagesPerLook() const
+	double Coordinator::messagesPerPoll() const
 	{
 		const double ranks = double(this->ranks.size());
-		// The relays' own messages count as well: the slowest of them makes the look.
+		// A relay's messages count as well: the slowest relay determines how long the poll takes.
 		return this->ranks.size() <= kTreeFanOut ? ranks : double(this->branches.size()) + ranks / std::max(1.0, double(this->branches.size()));
 	}
 
-	Millis Coordinator::lookMs() const
+	Millis Coordinator::pollIntervalMs() const
 	{
-		const double messages = this->messagesPerLook();
+		const double messages = this->messagesPerPoll();
 		switch (this->intent.phase)
 		{
 		case SwitchPhase::Idle:
-			return std::max(kIdleLookMs, Millis(kIdleLookMsPerMessage * messages));
+			return std::max(kIdlePollIntervalMs, Millis(kIdlePollMsPerMessage * messages));
 		case SwitchPhase::Preparing:
-			return std::max(kPreparingLookMs, Millis(kLookMsPerMessage * messages));
+			return std::max(kPreparingPollIntervalMs, Millis(kPollMsPerMessage * messages));
 		default:
-			return Millis(this->switchingLookMs());
+			return Millis(this->switchingPollIntervalMs());
 		}
 	}
 
-	double Coordinator::switchingLookMs() const
+	double Coordinator::switchingPollIntervalMs() const
 	{
-		return std::max(double(kSwitchingLookMs), kLookMsPerMessage * this->messagesPerLook());
+		return std::max(double(kSwitchingPollIntervalMs), kPollMsPerMessage * this->messagesPerPoll());
 	}
 
 	std::uint64_t Coordinator::marginSteps() const
@@ -116,10 +116,10 @@
 		{
 			return 1 + std::uint64_t(kMaxMarginSteps);
 		}
-		// Fewer than pass during the write would let each boundary pass before it is held: with a
-		// store of 0.9 s a write no switch came about at all.
+		// If more steps pass during the write than this margin, every boundary passes before it is held: with
+		// a store that took 0.9 s per write, no switch ever completed.
 		const double writing = this->writeMs / this->passMs;
-		const double others = (kArmMs + kArmLooks * this->switchingLookMs()) / this->passMs;
+		const double others = (kArmDurationMs + kArmPolls * this->switchingPollIntervalMs()) / this->passMs;
 		return 1 + std::uint64_t(std::ceil(writing + std::min(kMaxMarginSteps, others)));
 	}
 
@@ -168,7 +168,7 @@
 		return result;
 	}
 
-	std::string_view Coordinator::obstacle(const std::vector<RankView>& _ranks) const
+	std::string_view Coordinator::planBlocker(const std::vector<RankView>& _ranks) const
 	{
 		if (!this->model || 0 == this->model->experts || _ranks.empty() || this->storeLost)
 		{
@@ -200,27 +200,27 @@
 		return known ? "" : "map_unknown";
 	}
 
-	bool Coordinator::mayPlan(const std::vector<RankView>& _ranks)
+	bool Coordinator::canPlan(const std::vector<RankView>& _ranks)
 	{
-		const std::string_view obstacle = this->obstacle(_ranks);
+		const std::string_view planBlocker = this->planBlocker(_ranks);
 		const Millis now = nowMs();
-		this->planHeldUpSince = obstacle.empty() ? 0 : (0 == this->planHeldUpSince ? now : this->planHeldUpSince);
-		if (!obstacle.empty() && now - this->planHeldUpSince >= kPlanHeldUpMs)
+		this->planBlockedSince = planBlocker.empty() ? 0 : (0 == this->planBlockedSince ? now : this->planBlockedSince);
+		if (!planBlocker.empty() && now - this->planBlockedSince >= kPlanBlockedLogIntervalMs)
 		{
-			std::string unseenAt; // who should have told of one of them
+			std::string unseenExample; // one unseen rank and the relay that should have reported it
 			for (const auto& [engine, rank] : this->ranks)
 			{
 				const auto branch = this->branchOf.find(engine);
 				const bool unseenHere = now - rank.seenAt > kViewMaxAgeMs;
-				unseenAt = unseenHere ? engine + " by " + (this->branchOf.end() == branch ? "nobody" : branch->second) : unseenAt;
+				unseenExample = unseenHere ? engine + " by " + (this->branchOf.end() == branch ? "nobody" : branch->second) : unseenExample;
 			}
 			const auto unseen = std::count_if(_ranks.begin(), _ranks.end(), [](const RankView& _rank) {
 				return !_rank.seen;
 			});
-			logWarning("no_map_planned", {{"group", this->group}, {"why", obstacle}, {"unseen", unseen}, {"of", _ranks.size()}, {"known", this->ranks.size()}, {"one", unseenAt}, {"for_ms", kPlanHeldUpMs}});
-			this->planHeldUpSince = now;
+			logWarning("no_map_planned", {{"group", this->group}, {"why", planBlocker}, {"unseen", unseen}, {"of", _ranks.size()}, {"known", this->ranks.size()}, {"one", unseenExample}, {"for_ms", kPlanBlockedLogIntervalMs}});
+			this->planBlockedSince = now;
 		}
-		return obstacle.empty();
+		return planBlocker.empty();
 	}
 
 	bool Coordinator::allReachable() const
@@ -234,16 +234,16 @@
 		const Millis since = nowMs() - this->phaseSince;
 		if (SwitchPhase::Preparing != this->intent.phase)
 		{
-			// Seen since the row was written: a rank that froze with the hold is noticed in a few looks.
+			// The views are newer than the row's write, so a rank that froze with the hold is noticed within a few polls.
 			const bool allSeen = std::all_of(_ranks.begin(), _ranks.end(), [](const RankView& _rank) {
 				return _rank.seen;
 			});
-			return since > (allSeen && this->allReachable() ? kHoldMs : kHoldUnreachableMs);
+			return since > (allSeen && this->allReachable() ? kHoldTimeoutMs : kUnreachableHoldTimeoutMs);
 		}
 		const bool refused = std::any_of(this->sent.begin(), this->sent.end(), [](const auto& _entry) {
 			return RankOrderKind::Prepare == _entry.first.kind && _entry.second.refused;
 		});
-		return refused || since > kPrepareMs;
+		return refused || since > kPreparePhaseTimeoutMs;
 	}
 
 	aio::Task<void> Coordinator::advance()
@@ -274,7 +274,7 @@
 			co_await this->writeRow(std::move(*step.next), std::move(reason));
 			if (!this->switchIsOpen())
 			{
-				this->releaseStrays(ranks); // seen before the row was written
+				this->releaseStrays(ranks); // these views were taken before the row was written
 			}
 			co_return;
 		}
@@ -286,12 +286,12 @@
 	{
 		while (!this->ended)
 		{
-			if (nowMs() - this->askedAt >= this->lookMs())
+			if (nowMs() - this->askedAt >= this->pollIntervalMs())
 			{
 				this->askedAt = nowMs();
-				this->askRanks();
+				this->pollRanks();
 			}
-			co_await this->parts.loop.timer.afterDelay(kTickMs * kj::MILLISECONDS);
+			co_await this->dependencies.loop.timer.afterDelay(kDecisionIntervalMs * kj::MILLISECONDS);
 		}
 	}
 
@@ -299,9 +299,9 @@
 	{
 		while (!this->ended)
 		{
-			// Answers to orders come between two looks, and each may let the switch go on.
-			co_await this->parts.loop.timer.afterDelay(kTickMs * kj::MILLISECONDS);
-			if (!this->ended) // meanwhile
+			// Responses to orders arrive between polls, and each may allow the next step of the switch.
+			co_await this->dependencies.loop.timer.afterDelay(kDecisionIntervalMs * kj::MILLISECONDS);
+			if (!this->ended) // may have ended during the delay
 			{
 				co_await this->advance();
 			}
@@ -314,7 +314,7 @@
 			logError("coordinator_failed", {{"group", this->group}, {"reason", _error.getDescription().cStr()}, {"remedy", "another daemon takes over; report this line"}});
 			this->end(CoordinatorEnd::TermLost);
 		};
-		this->takeKnownTables();
+		this->applyKnownTables();
 		for (Feed& feed : this->feeds())
 		{
 			this->following.add(this->followTable(std::move(feed)).take().eagerlyEvaluate(fatal));
@@ -324,7 +324,7 @@
 		this->deciding = this->decide().take().eagerlyEvaluate(fatal);
 		while (!this->ended)
 		{
-			co_await this->parts.loop.timer.afterDelay(kIdleLookMs * kj::MILLISECONDS);
+			co_await this->dependencies.loop.timer.afterDelay(kIdlePollIntervalMs * kj::MILLISECONDS);
 		}
 		co_return *this->ended;
 	}
@@ -345,6 +345,6 @@
 		{
 			seen.push_back({{"engine", engine}, {"rank", rank.report.rank}, {"ageMs", 0 == rank.seenAt ? -1 : nowMs() - rank.seenAt}, {"step", rank.report.view.step}, {"map", rank.report.view.map}, {"queued", rank.report.queued}, {"active", rank.report.active}, {"pace", rank.report.pace}});
 		}
-		return nlohmann::json{{"group", this->group}, {"term", this->intent.term}, {"phase", std::string(toString(this->intent.phase))}, {"version", this->intent.version}, {"boundary", this->intent.boundary}, {"storeLost", this->storeLost}, {"passMs", this->passMs}, {"skew", this->lastSkew}, {"switches", this->switches}, {"maps", this->describeMaps()}, {"branches", this->branches.size()}, {"gateways", this->parts.knowledge.news.gateways}, {"ranks", seen}}.dump();
+		return nlohmann::json{{"group", this->group}, {"term", this->intent.term}, {"phase", std::string(toString(this->intent.phase))}, {"version", this->intent.version}, {"boundary", this->intent.boundary}, {"storeLost", this->storeLost}, {"passMs", this->passMs}, {"skew", this->lastSkew}, {"switches", this->switches}, {"maps", this->describeMaps()}, {"branches", this->branches.size()}, {"gateways", this->dependencies.groupState.news.gateways}, {"ranks", seen}}.dump();
 	}
 } // namespace archdyke::group
--- a/src/group/coordinator_maps.cpp
+++ b/src/group/coordinator_maps.cpp
@@ -1,4 +1,5 @@
-/// The coordinator's part that weighs switches of the expert map, and learns from those that it made.
+/// The part of the coordinator that decides whether a switch of the expert map pays, and learns from
+/// the switches that it made.
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
@@ -11,19 +12,19 @@
 {
 	namespace
 	{
-		/// Passes on the map in use before it is judged: those before it were longer by the copies and the
-		/// hold of the switch.
-		constexpr std::ptrdiff_t kLeastPasses = 3;
-		/// A switch that doesn't pay is told so often, ms.
-		constexpr Millis kNotWorthEveryMs = 1'000;
+		/// Minimum number of passes on the current map before it is judged: earlier passes were longer
+		/// because of the copies and the hold of the switch.
+		constexpr std::ptrdiff_t kMinPassesOnMap = 3;
+		/// Interval between log lines about switches that don't pay, ms.
+		constexpr Millis kNotWorthLogIntervalMs = 1'000;
 	} // namespace
 
 	MapCounters::MapCounters(Metrics& _metrics)
 	    : switches(_metrics.counter("archdyke_map_switches_total", "Switches of the group's expert map that came into force"))
-	    , stoodMs(_metrics.counter("archdyke_map_stood_ms_total", "Time that the group stood at boundaries of switches, ms"))
-	    , skew(_metrics.gauge("archdyke_map_skew", "How far the slowest rank trails the mean by the experts' load"))
-	    , savedMs(_metrics.gauge("archdyke_map_switch_saved_ms", "Service that the last switch that was weighed would save, ms"))
-	    , costMs(_metrics.gauge("archdyke_map_switch_cost_ms", "Service that it would cost, ms"))
+	    , stoodMs(_metrics.counter("archdyke_map_stood_ms_total", "Time that the group was stalled at switch boundaries, ms"))
+	    , skew(_metrics.gauge("archdyke_map_skew", "By how much the load of the slowest rank exceeds the mean, as a share of the mean"))
+	    , savedMs(_metrics.gauge("archdyke_map_switch_saved_ms", "Service time that the last evaluated switch would save, ms"))
+	    , costMs(_metrics.gauge("archdyke_map_switch_cost_ms", "Service time that the last evaluated switch would cost, ms"))
 	{
 	}
 
@@ -46,26 +47,26 @@
 
 	std::optional<double> Coordinator::passOnThisMap() const
 	{
-		// Not the boundary of the row: that of a switch that was given up is none at which the map changed.
+		// The row's boundary can't be used here: it may be that of an abandoned switch, where the map didn't change.
 		const bool switched = this->passEpoch == this->mapStart.epoch;
 		const auto isOnThisMap = [&](const PassSample& _pass) {
 			return !switched || this->mapStart.step <= _pass.step;
 		};
 		if (this->passes.empty() || isOnThisMap(this->passes.front()))
 		{
-			// A group without requests begins no pass: the time until it has some isn't one of a pass.
+			// A group without requests begins no passes, so idle time must not count as the time of a pass.
 			const auto first = std::find_if(this->passes.begin(), this->passes.end(), [&](const PassSample& _pass) {
 				return _pass.at >= this->passes.back().at - kPassWindowMs;
 			});
 			return this->passes.end() - first < 2 ? this->passMs : meanPassMs(*first, this->passes.back());
 		}
 		const auto first = std::find_if(this->passes.begin(), this->passes.end(), isOnThisMap);
-		return this->passes.end() - first <= kLeastPasses ? std::nullopt : std::optional(meanPassMs(*first, this->passes.back()));
+		return this->passes.end() - first <= kMinPassesOnMap ? std::nullopt : std::optional(meanPassMs(*first, this->passes.back()));
 	}
 
 	std::optional<GroupPressure> Coordinator::pressure() const
 	{
-		// Where skew alone decides, passes on the map before do as well, and the next switch needn't wait for others.
+		// If the skew alone decides, passes on the previous map are good enough, and the next switch needn't wait for new ones.
 		const std::optional<double> passMs = isWeighed(*this->model, this->gapObjectiveMs) ? this->passOnThisMap() : std::optional(this->passMs);
 		if (!passMs)
 		{
@@ -89,7 +90,7 @@
 		return result;
 	}
 
-	void Coordinator::noteStand(const PassSample& _before, const PassSample& _now)
+	void Coordinator::recordStall(const PassSample& _before, const PassSample& _now)
 	{
 		const bool atBoundary = this->switchIsOpen() && _before.step < this->intent.boundary && this->intent.boundary <= _now.step;
 		if (atBoundary && this->lastPlanned.version == this->intent.version)
@@ -99,7 +100,7 @@
 		}
 	}
 
-	void Coordinator::noteLastSwitch()
+	void Coordinator::recordLastSwitch()
 	{
 		if (0 == this->lastPlanned.version)
 		{
@@ -116,7 +117,7 @@
 		this->lastPlanned = {};
 	}
 
-	void Coordinator::notePlan(const SwitchChoice& _choice, const RankView& _first, double _passMs)
+	void Coordinator::recordPlan(const SwitchChoice& _choice, const RankView& _first, double _passMs)
 	{
 		const SwitchWorth& worth = _choice.worth;
 		this->lastSkew = _choice.plan.skewBefore;
@@ -136,18 +137,18 @@
 		{
 			logInfo("map_planned", {{"group", this->group}, {"epoch", _first.epoch}, {"step", _first.step}, {"skew", _choice.plan.skewBefore}, {"planned_skew", _choice.plan.skewAfter}, {"copies", _choice.plan.copies}, {"pass_ms", _passMs}, {"counts_age_ms", nowMs() - this->window.pieces.back().to}, {"saved_ms", worth.savedMs}, {"cost_ms", worth.costMs}, {"expected_ms", worth.expectedMs}, {"kept", worth.keptShare}, {"stood_ms", this->switchRecord.mean.stoodMs}, {"overhead_ms", this->switchRecord.mean.overheadMs}});
 		}
-		else if (nowMs() - this->notWorthToldAt >= kNotWorthEveryMs)
+		else if (nowMs() - this->notWorthLoggedAt >= kNotWorthLogIntervalMs)
 		{
-			this->notWorthToldAt = nowMs();
+			this->notWorthLoggedAt = nowMs();
 			logInfo("map_not_worth", {{"group", this->group}, {"why", toString(_choice.doubt)}, {"step", _first.step}, {"skew", _choice.plan.skewBefore}, {"planned_skew", _choice.plan.skewAfter}, {"copies", _choice.plan.copies}, {"pass_ms", _passMs}, {"saved_ms", worth.savedMs}, {"cost_ms", worth.costMs}, {"expected_ms", worth.expectedMs}, {"kept", worth.keptShare}, {"stood_ms", this->switchRecord.mean.stoodMs}, {"overhead_ms", this->switchRecord.mean.overheadMs}});
 		}
 	}
 
 	std::optional<SwitchIntent> Coordinator::plan()
 	{
-		this->noteLastSwitch();
+		this->recordLastSwitch();
 		const std::vector<RankView> ranks = this->views(kViewMaxAgeMs);
-		if (!this->mayPlan(ranks))
+		if (!this->canPlan(ranks))
 		{
 			return std::nullopt;
 		}
@@ -160,7 +161,7 @@
 			return std::nullopt;
 		}
 		const SwitchChoice choice = chooseSwitch(*this->model, std::uint32_t(ranks.size()), hosts, *load, *pressure, this->paces(ranks.size()), this->switchRecord, this->savings, nowMs());
-		this->notePlan(choice, first, pressure->passes.passMs);
+		this->recordPlan(choice, first, pressure->passes.passMs);
 		if (SwitchDoubt::None != choice.doubt)
 		{
 			return std::nullopt;
@@ -168,7 +169,7 @@
 		std::optional<SwitchIntent> begun = beginSwitch(this->intent, first.epoch, choice.plan.hosts, this->history.version);
 		if (!begun)
 		{
-			this->end(CoordinatorEnd::TermLost); // no versions left: the next coordinator has a term of its own
+			this->end(CoordinatorEnd::TermLost); // no versions left in this term: the next coordinator gets a new term
 			return std::nullopt;
 		}
 		this->lastPlanned = {begun->version, nowMs(), choice.worth.copyMs, 0.0};
--- a/src/group/coordinator_orders.cpp
+++ b/src/group/coordinator_orders.cpp
@@ -1,4 +1,4 @@
-/// The coordinator's part that gives ranks the orders of an open switch.
+/// The part of the coordinator that sends ranks the orders of an open switch.
 #include <algorithm>
 #include <tuple>
 
@@ -11,18 +11,18 @@
 {
 	namespace
 	{
-		/// Time limit of an order through a rank's daemon, ms; its engine has 60 ms of it.
+		/// Timeout of an order through a rank's daemon, ms; of this the engine has 60 ms.
 		constexpr Millis kOrderTimeoutMs = 150;
-		/// The same of a prepare, ms: it brings a map, which the daemon lays out for its engine.
+		/// Timeout of a prepare order, ms: it carries a map, which the daemon builds for its engine.
 		constexpr Millis kPrepareTimeoutMs = 400;
-		/// More for each daemon that is told from one process, ms: all share its link.
+		/// Minimum timeout per daemon that one process sends to, ms: all of them share its link.
 		constexpr double kOrderTimeoutMsPerMessage = 6.0;
-		/// What the way to a relay and back may take beside its own waiting, ms.
-		constexpr Millis kRelayWayMs = 50;
-		/// An order without an answer is sent again after this, one that was accepted but shows
-		/// no effect after the longer time, ms.
-		constexpr Millis kRepeatMs = 60;
-		constexpr Millis kRepeatAcceptedMs = 400;
+		/// Time for the round trip to a relay, in addition to the relay's own wait, ms.
+		constexpr Millis kRelayRoundTripMs = 50;
+		/// Time after which an order without a response is sent again, and the longer time after which an
+		/// accepted order without a visible effect is, ms.
+		constexpr Millis kResendMs = 60;
+		constexpr Millis kResendAcceptedMs = 400;
 
 		EngineOrder orderOf(const RankOrderPlan& _plan)
 		{
@@ -37,7 +37,7 @@
 		return std::max(usual, Millis(kOrderTimeoutMsPerMessage * messages));
 	}
 
-	std::optional<ExpertHosts> Coordinator::mapOf(std::uint64_t _version, std::uint32_t _ranks) const
+	std::optional<ExpertHosts> Coordinator::mapForVersion(std::uint64_t _version, std::uint32_t _ranks) const
 	{
 		const bool ofSwitch = SwitchPhase::Preparing == this->intent.phase && _version == this->intent.version;
 		if (ofSwitch)
@@ -53,10 +53,10 @@
 		return dealt ? dealtInTurn(std::uint32_t(this->intent.map.size()), std::uint32_t(this->intent.map.front().size()), _ranks) : this->intent.inForce;
 	}
 
-	const MapDifference* Coordinator::differenceFrom(bool _dealt, std::uint64_t _version, std::uint32_t _ranks)
+	const MapDifference* Coordinator::differenceFrom(bool _fromRoundRobin, std::uint64_t _version, std::uint32_t _ranks)
 	{
-		KnownDifference& known = _dealt ? this->fromDealt : this->fromInForce;
-		const std::optional<ExpertHosts> map = this->mapOf(_version, _ranks);
+		CachedDifference& known = _fromRoundRobin ? this->fromRoundRobin : this->fromInForce;
+		const std::optional<ExpertHosts> map = this->mapForVersion(_version, _ranks);
 		if (!map || map->empty())
 		{
 			return nullptr;
@@ -65,9 +65,9 @@
 		{
 			const std::uint32_t sets = std::uint32_t(map->size());
 			const std::uint32_t experts = std::uint32_t(map->front().size());
-			const ExpertHosts base = _dealt ? dealtInTurn(sets, experts, _ranks) : this->intent.inForce;
+			const ExpertHosts base = _fromRoundRobin ? dealtInTurn(sets, experts, _ranks) : this->intent.inForce;
 			known.version = _version;
-			known.difference = differenceOf(_dealt ? 0 : this->intent.inForceVersion, expertsByRank(base, _ranks), expertsByRank(*map, _ranks), experts);
+			known.difference = differenceOf(_fromRoundRobin ? 0 : this->intent.inForceVersion, expertsByRank(base, _ranks), expertsByRank(*map, _ranks), experts);
 		}
 		return &known.difference;
 	}
@@ -90,8 +90,8 @@
 	{
 		const std::vector<Rank*> known = this->ranksByNumber();
 		Rank* target = _plan.rank < known.size() ? known[_plan.rank] : nullptr;
-		const std::optional<ExpertHosts> map = this->mapOf(_plan.version, std::uint32_t(known.size()));
-		// A version must never be given with another one's map.
+		const std::optional<ExpertHosts> map = this->mapForVersion(_plan.version, std::uint32_t(known.size()));
+		// A version must never be sent with the map of another version.
 		const bool mapIsGone = RankOrderKind::Prepare == _plan.kind && !map;
 		if (nullptr == target || nullptr == target->direct || mapIsGone)
 		{
@@ -104,16 +104,16 @@
 			order.expertsByRank = expertsByRank(*map, target->report.ranks);
 		}
 		const OrderOutcome outcome = co_await target->direct->order(std::move(order));
-		this->noteOutcome(_plan, outcome);
-		if (outcome.accepted && RankOrderKind::Hold == _plan.kind && !target->askingDirectly)
+		this->recordOutcome(_plan, outcome);
+		if (outcome.accepted && RankOrderKind::Hold == _plan.kind && !target->directPollInFlight)
 		{
-			// Seen at once, the group stands a look less: 20 ms of each switch at 129 ranks.
+			// Polling at once shortens the stall by one poll interval: 20 ms of each switch at 129 ranks.
 			std::string engine = target->engineAddress;
-			co_await this->observeDirectly(std::move(engine));
+			co_await this->requestDirectReport(std::move(engine));
 		}
 	}
 
-	void Coordinator::noteOutcome(const RankOrderPlan& _plan, const OrderOutcome& _outcome)
+	void Coordinator::recordOutcome(const RankOrderPlan& _plan, const OrderOutcome& _outcome)
 	{
 		SentOrder& sentOrder = this->sent[_plan];
 		sentOrder.pending = false;
@@ -121,7 +121,7 @@
 		sentOrder.refused = !_outcome.accepted && 0 != _outcome.status;
 	}
 
-	aio::Task<void> Coordinator::sendThrough(std::string _relay, std::vector<RankOrderPlan> _plans)
+	aio::Task<void> Coordinator::sendViaBranch(std::string _relay, std::vector<RankOrderPlan> _plans)
 	{
 		const std::vector<Rank*> known = this->ranksByNumber();
 		const RankOrderPlan& first = _plans.front();
@@ -134,7 +134,7 @@
 			{
 				for (const RankOrderPlan& plan : _plans)
 				{
-					this->sent.erase(plan); // a version must never be given with another one's map
+					this->sent.erase(plan); // a version must never be sent with the map of another version
 				}
 				co_return;
 			}
@@ -152,11 +152,11 @@
 		{
 			if (_relay.empty())
 			{
-				outcome = co_await this->parts.fanOut.give(std::move(order));
+				outcome = co_await this->dependencies.fanOut.broadcast(std::move(order));
 			}
 			else
 			{
-				const Millis timeoutMs = order.patienceMs + kRelayWayMs;
+				const Millis timeoutMs = order.maxWaitMs + kRelayRoundTripMs;
 				const std::shared_ptr<RankLink> link = this->branchAt(_relay).link; // the tree may change meanwhile
 				outcome = co_await link->relayOrders(std::move(order), timeoutMs);
 			}
@@ -169,31 +169,31 @@
 		outcome.outcomes.resize(engines.size());
 		for (std::size_t index = 0; index < engines.size(); ++index)
 		{
-			// Without an answer it is sent again, through whoever relays then.
+			// An order without a response is sent again, through the relay of that time.
 			const OrderOutcome result = outcome.outcomes[index].value_or(OrderOutcome());
-			this->noteOutcome(_plans[index], result);
+			this->recordOutcome(_plans[index], result);
 			Rank* rank = this->findRank(engines[index]);
 			if (nullptr != rank && outcome.outcomes[index])
 			{
 				rank->lacksBase = result.baseUnknown;
 			}
 		}
-		this->takeChildren(outcome.children, askedAt + outcome.tookMs);
+		this->applyChildSnapshots(outcome.children, askedAt + outcome.tookMs);
 	}
 
 	void Coordinator::sendOrders(const std::vector<RankOrderPlan>& _orders)
 	{
 		const Millis now = nowMs();
 		const std::vector<Rank*> known = this->ranksByNumber();
-		/// Orders that one message can bring: of one branch, kind, epoch, version, step and base. Those of
-		/// the own branch go one by one, by rank, as each answer may let the switch go on: in batches the
-		/// slowest of 24 daemons let the groups stand 50 ms a switch, in place of 10.
+		/// Groups orders that one message can carry: of one branch, kind, epoch, version, step and base map.
+		/// Orders of the own branch are sent one by one, keyed by rank, since each response may allow the next
+		/// step: in batches, the slowest of 24 daemons stalled the groups for 50 ms per switch instead of 10.
 		using Batch = std::tuple<std::string, RankOrderKind, std::uint64_t, std::uint64_t, std::uint64_t, bool, std::uint32_t>;
 		std::map<Batch, std::vector<RankOrderPlan>> batches;
 		for (const RankOrderPlan& order : _orders)
 		{
 			SentOrder& last = this->sent[order];
-			const Millis wait = last.accepted ? kRepeatAcceptedMs : kRepeatMs;
+			const Millis wait = last.accepted ? kResendAcceptedMs : kResendMs;
 			const bool due = !last.pending && (0 == last.at || now - last.at >= wait);
 			if (!due || order.rank >= known.size() || nullptr == known[order.rank])
 			{
@@ -202,8 +202,8 @@
 			last.at = now;
 			last.pending = true;
 			const Rank& target = *known[order.rank];
-			// A VM that freezes with a hold just given would keep the group standing: the hold is
-			// given from here, so that the engine that has it can still be reached.
+			// Holds are sent directly: if a rank's VM froze right after passing on a hold, the group would
+			// stall until the VM is back, while the engine that holds can still be reached from here.
 			if (RankOrderKind::Hold == order.kind || this->daemonIsSilent(target))
 			{
 				this->tasks.add(this->sendDirectly(order).take());
@@ -215,7 +215,7 @@
 		for (auto& [batch, plans] : batches)
 		{
 			std::string relay = std::get<0>(batch);
-			this->tasks.add(this->sendThrough(std::move(relay), std::move(plans)).take());
+			this->tasks.add(this->sendViaBranch(std::move(relay), std::move(plans)).take());
 		}
 	}
 } // namespace archdyke::group
--- a/src/group/coordinator_p.h
+++ b/src/group/coordinator_p.h
@@ -1,19 +1,19 @@
-/// What the parts of the coordinator share.
+/// Constants shared by the coordinator's source files.
 #pragma once
 
 #include "archdyke/types.h"
 
 namespace archdyke::group
 {
-	/// Between two looks at the ranks while no switch is open, ms: a hot expert lasts 1 to 4 s.
-	constexpr Millis kIdleLookMs = 60;
-	/// What a rank last said counts for this long, ms: several looks, and a lost answer.
+	/// Interval between polls of the ranks while no switch is open, ms: a hot expert lasts 1 to 4 s.
+	constexpr Millis kIdlePollIntervalMs = 60;
+	/// Maximum age of a rank's report, ms: several polls, so that one lost response doesn't matter.
 	constexpr Millis kViewMaxAgeMs = 600;
-	/// Between two direct questions while no switch is open, ms, so that the rank counts as seen
-	/// all the time; each one is paid for.
-	constexpr Millis kDirectEveryMs = 200;
-	/// The same while a switch is open: it waits for what the rank says.
-	constexpr Millis kDirectSwitchingMs = 25;
-	/// The time of a pass is the mean over about this long, ms: some passes.
+	/// Interval between direct polls of an engine while no switch is open, ms: short enough that the
+	/// rank always counts as seen, and no shorter because each poll has a cost.
+	constexpr Millis kDirectPollIntervalMs = 200;
+	/// The same while a switch is open, which waits for the rank's report.
+	constexpr Millis kDirectSwitchingPollIntervalMs = 25;
+	/// Period over which the time of a pass is averaged, ms: several passes.
 	constexpr Millis kPassWindowMs = 500;
 } // namespace archdyke::group
--- a/src/group/coordinator_ranks.cpp
+++ b/src/group/coordinator_ranks.cpp
@@ -1,4 +1,5 @@
-/// The coordinator's part that takes in what ranks say, and asks engines whose daemon is away.
+/// The part of the coordinator that records the reports of ranks and polls engines directly while
+/// their daemons don't respond.
 #include <algorithm>
 
 #include "base/log.h"
@@ -10,11 +11,11 @@
 {
 	namespace
 	{
-		/// From this pace on a rank is told to be slow, in the log; decisions take any pace as it is.
+		/// Minimum pace at which a rank is logged as slow; decisions use the pace itself.
 		constexpr double kSlowPace = 1.5;
 	} // namespace
 
-	void Coordinator::notePass(const EngineReport& _engine)
+	void Coordinator::recordPass(const EngineReport& _engine)
 	{
 		const Millis now = nowMs();
 		if (this->passEpoch != _engine.view.epoch)
@@ -26,7 +27,7 @@
 		{
 			if (!this->passes.empty())
 			{
-				this->noteStand(this->passes.back(), {_engine.view.step, now});
+				this->recordStall(this->passes.back(), {_engine.view.step, now});
 			}
 			this->passes.push_back({_engine.view.step, now});
 		}
@@ -42,7 +43,7 @@
 		}
 	}
 
-	void Coordinator::notePace(const Rank& _rank, const EngineReport& _engine) const
+	void Coordinator::logPaceChange(const Rank& _rank, const EngineReport& _engine) const
 	{
 		const bool before = kSlowPace <= _rank.report.pace;
 		const bool now = kSlowPace <= _engine.pace;
@@ -52,11 +53,11 @@
 		}
 	}
 
-	void Coordinator::hear(Rank& _rank, const EngineReport& _report, Millis _seenAt)
+	void Coordinator::recordReport(Rank& _rank, const EngineReport& _report, Millis _seenAt)
 	{
 		if (_seenAt < _rank.seenAt)
 		{
-			return; // it came a longer way than what is known
+			return; // older than the known report: it was delayed on its way
 		}
 		if (_report.group != this->group)
 		{
@@ -67,30 +68,30 @@
 		{
 			logInfo("rank_state", {{"engine", _rank.engineAddress}, {"group", _report.group}, {"rank", _report.rank}, {"epoch", _report.view.epoch}, {"open", _report.view.open}, {"map", _report.view.map}});
 		}
-		this->notePace(_rank, _report);
+		this->logPaceChange(_rank, _report);
 		_rank.report = _report;
 		_rank.seenAt = _seenAt;
-		this->sortIn(_rank);
+		this->assignMembership(_rank);
 		if (_report.group == this->group)
 		{
-			this->notePass(_report);
+			this->recordPass(_report);
 		}
-		else if (_rank.engineAddress == this->parts.settings.upstream)
+		else if (_rank.engineAddress == this->dependencies.settings.upstream)
 		{
 			this->end(CoordinatorEnd::GroupLeft);
 		}
 	}
 
-	aio::Task<void> Coordinator::observeDirectly(std::string _engine)
+	aio::Task<void> Coordinator::requestDirectReport(std::string _engine)
 	{
 		Rank& rank = this->rankAt(_engine);
-		rank.askingDirectly = true;
+		rank.directPollInFlight = true;
 		std::string failure;
 		try
 		{
 			const Millis askedAt = nowMs();
 			const EngineReport report = co_await rank.direct->report();
-			this->hear(rank, report, askedAt);
+			this->recordReport(rank, report, askedAt);
 		}
 		catch (const std::exception& error)
 		{
@@ -100,7 +101,7 @@
 		{
 			failure = error.getDescription().cStr();
 		}
-		rank.askingDirectly = false;
+		rank.directPollInFlight = false;
 		if (!failure.empty())
 		{
 			logWarning("engine_unseen", {{"engine", _engine}, {"reason", failure}});
@@ -109,7 +110,7 @@
 
 	std::optional<std::uint32_t> Coordinator::ownRank() const
 	{
-		const auto own = this->ranks.find(this->parts.settings.upstream);
+		const auto own = this->ranks.find(this->dependencies.settings.upstream);
 		const bool known = this->ranks.end() != own && 0 != own->second.seenAt;
 		return known ? std::optional(own->second.report.rank) : std::nullopt;
 	}
--- a/src/group/coordinator_row.cpp
+++ b/src/group/coordinator_row.cpp
@@ -1,4 +1,5 @@
-/// The coordinator's part that speaks to the store: the group's row, its engines, its model.
+/// The part of the coordinator that reads and writes the store: the group's row, the upstreams, the
+/// configuration.
 #include <algorithm>
 
 #include "archdyke/errors.h"
@@ -12,25 +13,25 @@
 {
 	namespace
 	{
-		/// Mean of the time of a write: weight of the newest one.
-		constexpr double kWriteGain = 0.5;
-		/// Between two looks at the row while nothing is written, ms: notices another
-		/// coordinator, and a store that is lost.
-		constexpr Millis kRowLookMs = 2'000;
-		/// The same while a hold stands in the way of the group, ms.
-		constexpr Millis kStrayLookMs = 50;
-		/// After a failed call, ms.
+		/// Weight of the newest write in the moving average of write times.
+		constexpr double kWriteTimeWeight = 0.5;
+		/// Interval between reads of the row while nothing is written, ms: detects another coordinator
+		/// and the loss of the store.
+		constexpr Millis kRowPollIntervalMs = 2'000;
+		/// The same while a stray hold blocks the group, ms.
+		constexpr Millis kStrayHoldPollIntervalMs = 50;
+		/// Delay after a failed call, ms.
 		constexpr Millis kStoreRetryMs = 300;
-		/// How long a call for changes of a table hangs, as a share of the time in which a change is to be in force:
-		/// gateways rely on what is told while it is younger than 0.6 of that.
-		constexpr double kWaitShareOfChange = 0.25;
-		/// The same for crashes, ms: gateways rely on them for 5 s.
-		constexpr Millis kCrashesWaitMs = 3'000;
-		/// After changes, ms: those that come together come in one call.
-		constexpr Millis kNewsPauseMs = 100;
+		/// Duration of a long poll for changes of a table, as a share of the time within which a change must be in
+		/// force: gateways use news of the coordinator while it is younger than 0.6 of that time.
+		constexpr double kLongPollShareOfChange = 0.25;
+		/// Duration of a long poll for crashes, ms: gateways use them for 5 s.
+		constexpr Millis kCrashLongPollMs = 3'000;
+		/// Delay after changes, ms, so that changes in quick succession arrive in one call.
+		constexpr Millis kChangeBatchDelayMs = 100;
 
-		/// @returns The least of the gap objectives of a service's routes; 0 when it has none.
-		Millis leastGapObjective(const Catalog& _catalog, const std::string& _service)
+		/// @returns The smallest gap objective of a service's routes; 0 if there is none.
+		Millis smallestGapObjective(const Catalog& _catalog, const std::string& _service)
 		{
 			Millis least = 0;
 			for (const CatalogRoute& route : _catalog.routes)
@@ -71,7 +72,7 @@
 		}
 		if (current.term != this->intent.term)
 		{
-			// The version stays unknown: with it, a write of this term would take the row back.
+			// The row's new version isn't recorded: with it, a write of this term would overwrite the row.
 			logWarning("term_lost", {{"group", this->group}, {"term", this->intent.term}, {"newer", current.term}, {"coordinator", current.coordinator}});
 			this->end(CoordinatorEnd::TermLost);
 			return;
@@ -83,29 +84,29 @@
 
 	aio::Task<void> Coordinator::writeRow(SwitchIntent _row, std::string _reason)
 	{
-		store::ConditionalWrite write{groupRowKey(this->parts.settings.service, this->group), encodeIntent(_row), this->rowVersion};
+		store::ConditionalWrite write{groupRowKey(this->dependencies.settings.service, this->group), encodeIntent(_row), this->rowVersion};
 		store::WriteResult result;
 		std::string failure;
 		const Millis begunAt = nowMs();
 		try
 		{
-			result = co_await this->parts.store.write(std::move(write));
+			result = co_await this->dependencies.store.write(std::move(write));
 		}
 		catch (const kj::Exception& error)
 		{
 			failure = error.getDescription().cStr();
 		}
 		const Millis took = nowMs() - begunAt;
-		this->writeMs += kWriteGain * (double(took) - this->writeMs);
+		this->writeMs += kWriteTimeWeight * (double(took) - this->writeMs);
 		logInfo("group_row", {{"group", this->group}, {"term", _row.term}, {"phase", toString(_row.phase)}, {"epoch", _row.epoch}, {"version", _row.version}, {"boundary", _row.boundary}, {"reason", _reason}, {"written", result.written}, {"expected", this->rowVersion}, {"took_ms", took}, {"failure", failure.empty() ? "-" : failure}});
-		// Without an answer it may be done, or be done later; the next look at the row tells.
+		// Without a response the write may have been done or may still be done; the next read of the row shows it.
 		this->storeLost = !failure.empty();
 		if (result.written)
 		{
 			this->rowVersion = result.version;
 			this->rowReadAt = nowMs();
 			this->adopt(std::move(_row));
-			this->phaseSince = nowMs(); // nothing could be done for the phase before, even if it was seen in the row
+			this->phaseSince = nowMs(); // no orders were sent before now, even if a read of the row showed this phase earlier
 		}
 		else if (result.current)
 		{
@@ -113,9 +114,9 @@
 		}
 	}
 
-	void Coordinator::unlist(const std::string& _incarnation)
+	void Coordinator::markUnlisted(const std::string& _incarnation)
 	{
-		for (auto* known : {&this->ranks, &this->strangers})
+		for (auto* known : {&this->ranks, &this->nonMembers})
 		{
 			for (auto& [engine, rank] : *known)
 			{
@@ -124,38 +125,38 @@
 		}
 	}
 
-	void Coordinator::takeUpstreams(const store::Rows& _rows)
+	void Coordinator::applyUpstreams(const store::Rows& _rows)
 	{
 		for (const store::Row& row : store::inOrderOfWriting(_rows.rows))
 		{
 			if (row.gone)
 			{
-				this->unlist(row.key.key); // its engine comes back at its address, or never answers
+				this->markUnlisted(row.key.key); // its engine returns at the same address or never responds
 				continue;
 			}
 			try
 			{
-				this->takeUpstream(this->parts.decodeUpstream(row.key.key, row.value));
+				this->applyUpstream(this->dependencies.decodeUpstream(row.key.key, row.value));
 			}
 			catch (const InvalidInputError& error)
 			{
 				logWarning("upstream_unreadable", {{"group", this->group}, {"incarnation", row.key.key}, {"reason", error.what()}});
-				this->unlist(row.key.key); // it names no engine, and the other rows of the answer hold
+				this->markUnlisted(row.key.key); // the row names no engine; the other rows stay valid
 			}
 		}
 	}
 
-	void Coordinator::takeUpstream(const UpstreamRecord& _record)
+	void Coordinator::applyUpstream(const UpstreamRecord& _record)
 	{
-		if (_record.service != this->parts.settings.service)
+		if (_record.service != this->dependencies.settings.service)
 		{
-			this->unlist(_record.incarnation); // it may have been listed for this one before
+			this->markUnlisted(_record.incarnation); // it may have been listed for this service before
 			return;
 		}
 		Rank& rank = this->rankAt(_record.address);
 		if (rank.incarnation == _record.incarnation && 0 != _record.startedAt && _record.startedAt < rank.startedAt)
 		{
-			return; // a write of the run before that was late
+			return; // a delayed write of the previous run
 		}
 		if (rank.incarnation != _record.incarnation || rank.startedAt < _record.startedAt)
 		{
@@ -164,25 +165,25 @@
 			rank.search = {}; // another run may be in another group
 		}
 		rank.zone = _record.zone;
-		rank.search.ownZone = _record.zone == this->parts.settings.place.zone;
+		rank.search.ownZone = _record.zone == this->dependencies.settings.place.zone;
 		rank.search.listed = true;
 		rank.leaving = _record.leaving;
 	}
 
-	void Coordinator::takeConfiguration(const store::Rows& _rows)
+	void Coordinator::applyConfiguration(const store::Rows& _rows)
 	{
 		for (const store::Row& row : _rows.rows)
 		{
-			if (row.gone || row.key.key != this->parts.names.configurationKey)
+			if (row.gone || row.key.key != this->dependencies.names.configurationKey)
 			{
 				continue;
 			}
 			try
 			{
-				const CatalogIndex index = makeIndex(this->parts.decodeCatalog(row.value));
-				const CatalogService* service = findService(index, this->parts.settings.service);
+				const CatalogIndex index = makeIndex(this->dependencies.decodeCatalog(row.value));
+				const CatalogService* service = findService(index, this->dependencies.settings.service);
 				this->model = nullptr == service ? this->model : service->engine;
-				this->gapObjectiveMs = leastGapObjective(index.catalog, this->parts.settings.service);
+				this->gapObjectiveMs = smallestGapObjective(index.catalog, this->dependencies.settings.service);
 			}
 			catch (const InvalidInputError& error)
 			{
@@ -191,60 +192,60 @@
 		}
 	}
 
-	void Coordinator::passCrashes(const store::Rows& /*_rows*/)
+	void Coordinator::ignoreCrashes(const store::Rows& /*_rows*/)
 	{
-		// They are for gateways; the knowledge of this daemon has them.
+		// Only gateways use crashes; they read them from this daemon's group state.
 	}
 
-	void Coordinator::noteWatchFailure(const std::string& _table, const std::string& _reason) const
+	void Coordinator::logWatchFailure(const std::string& _table, const std::string& _reason) const
 	{
 		logWarning("group_watch_failed", {{"group", this->group}, {"table", _table}, {"reason", _reason}});
 	}
 
 	std::vector<Coordinator::Feed> Coordinator::feeds() const
 	{
-		const Millis waitMs = Millis(kWaitShareOfChange * double(this->parts.settings.bounds.changeMs));
+		const Millis longPollMs = Millis(kLongPollShareOfChange * double(this->dependencies.settings.bounds.changeMs));
 		return {
-		    {this->parts.names.configuration, &store::FollowedTables::operators, &Coordinator::takeConfiguration, waitMs},
-		    {this->parts.names.upstreams, &store::FollowedTables::upstreams, &Coordinator::takeUpstreams, waitMs},
-		    {store::kCrashTable, &store::FollowedTables::crashes, &Coordinator::passCrashes, kCrashesWaitMs},
+		    {this->dependencies.names.configuration, &store::FollowedTables::operators, &Coordinator::applyConfiguration, longPollMs},
+		    {this->dependencies.names.upstreams, &store::FollowedTables::upstreams, &Coordinator::applyUpstreams, longPollMs},
+		    {store::kCrashTable, &store::FollowedTables::crashes, &Coordinator::ignoreCrashes, kCrashLongPollMs},
 		};
 	}
 
-	aio::Task<store::Rows> Coordinator::nextRows(const Feed& _feed, bool _whole)
+	aio::Task<store::Rows> Coordinator::fetchRows(const Feed& _feed, bool _whole)
 	{
 		std::string name = _feed.name;
 		if (_whole)
 		{
-			return store::readWhole(this->parts.store, std::move(name));
+			return store::readWhole(this->dependencies.store, std::move(name));
 		}
-		return this->parts.store.follow(std::move(name), (this->parts.knowledge.tables.*_feed.table).version, _feed.waitMs);
+		return this->dependencies.store.follow(std::move(name), (this->dependencies.groupState.tables.*_feed.table).version, _feed.longPollMs);
 	}
 
-	void Coordinator::takeKnownTables()
+	void Coordinator::applyKnownTables()
 	{
-		this->takeUpstreams(store::rowsSince(this->parts.knowledge.tables.upstreams, 0));
-		this->takeConfiguration(store::rowsSince(this->parts.knowledge.tables.operators, 0));
-		// Those that the coordinator before had found are looked at through the tree at once.
-		for (const std::string& engine : this->parts.knowledge.roster.engines)
+		this->applyUpstreams(store::rowsSince(this->dependencies.groupState.tables.upstreams, 0));
+		this->applyConfiguration(store::rowsSince(this->dependencies.groupState.tables.operators, 0));
+		// Ranks that the previous coordinator found are polled through the tree at once.
+		for (const std::string& engine : this->dependencies.groupState.roster.engines)
 		{
-			if (this->strangers.contains(engine))
+			if (this->nonMembers.contains(engine))
 			{
-				this->ranks.insert(this->strangers.extract(engine));
+				this->ranks.insert(this->nonMembers.extract(engine));
 			}
 		}
 	}
 
-	Millis Coordinator::takeAnswer(const Feed& _feed, const store::Rows& _rows, bool _whole)
+	Millis Coordinator::applyResponse(const Feed& _feed, const store::Rows& _rows, bool _whole)
 	{
-		store::FollowedTable& table = this->parts.knowledge.tables.*_feed.table;
+		store::FollowedTable& table = this->dependencies.groupState.tables.*_feed.table;
 		const std::uint64_t known = table.version;
 		store::takeRows(table, _rows, _whole);
 		if (table.version != known)
 		{
 			(this->*_feed.take)(store::rowsSince(table, known));
 		}
-		return _rows.rows.empty() ? 0 : kNewsPauseMs;
+		return _rows.rows.empty() ? 0 : kChangeBatchDelayMs;
 	}
 
 	aio::Task<void> Coordinator::followTable(Feed _feed)
@@ -252,55 +253,55 @@
 		bool needsWhole = false;
 		while (!this->ended)
 		{
-			const store::FollowedTable& table = this->parts.knowledge.tables.*_feed.table;
+			const store::FollowedTable& table = this->dependencies.groupState.tables.*_feed.table;
 			const bool whole = needsWhole || 0 == table.version;
 			std::string failure;
 			Millis pauseMs = 0;
 			try
 			{
-				const store::Rows rows = co_await this->nextRows(_feed, whole);
+				const store::Rows rows = co_await this->fetchRows(_feed, whole);
 				needsWhole = rows.historyGone;
 				if (rows.historyGone)
 				{
 					logWarning("store_history_gone", {{"group", this->group}, {"table", _feed.name}, {"since", table.version}});
 					continue;
 				}
-				pauseMs = this->takeAnswer(_feed, rows, whole);
+				pauseMs = this->applyResponse(_feed, rows, whole);
 			}
 			catch (const kj::Exception& error)
 			{
 				failure = error.getDescription().cStr();
 			}
-			this->operatorsAnswered = &store::FollowedTables::operators == _feed.table ? failure.empty() : this->operatorsAnswered;
+			this->operatorsCallSucceeded = &store::FollowedTables::operators == _feed.table ? failure.empty() : this->operatorsCallSucceeded;
 			if (!failure.empty())
 			{
-				this->noteWatchFailure(_feed.name, failure);
+				this->logWatchFailure(_feed.name, failure);
 				pauseMs = kStoreRetryMs;
 			}
-			co_await this->parts.loop.timer.afterDelay(pauseMs * kj::MILLISECONDS);
+			co_await this->dependencies.loop.timer.afterDelay(pauseMs * kj::MILLISECONDS);
 		}
 	}
 
-	Millis Coordinator::rowLookMs() const
+	Millis Coordinator::rowPollIntervalMs() const
 	{
-		// A hold that no open switch owns stands in the way of the group.
+		// A hold that belongs to no open switch blocks the group.
 		const bool stray = !releaseStrayHolds(this->intent, this->views(kViewMaxAgeMs)).empty();
-		const Millis usual = this->storeLost ? kStoreRetryMs : kRowLookMs;
-		return stray ? kStrayLookMs : usual;
+		const Millis usual = this->storeLost ? kStoreRetryMs : kRowPollIntervalMs;
+		return stray ? kStrayHoldPollIntervalMs : usual;
 	}
 
-	aio::Task<void> Coordinator::waitForRowLook()
+	aio::Task<void> Coordinator::waitForRowPoll()
 	{
-		// In short waits, since a stray hold may come up during a long one.
-		for (const Millis since = nowMs(); nowMs() < since + this->rowLookMs();)
+		// Waits in short steps, since a stray hold may appear at any time.
+		for (const Millis since = nowMs(); nowMs() < since + this->rowPollIntervalMs();)
 		{
-			co_await this->parts.loop.timer.afterDelay(kStrayLookMs * kj::MILLISECONDS);
+			co_await this->dependencies.loop.timer.afterDelay(kStrayHoldPollIntervalMs * kj::MILLISECONDS);
 		}
 	}
 
-	void Coordinator::takeRow(const store::Rows& _rows)
+	void Coordinator::adoptNewerRow(const store::Rows& _rows)
 	{
-		const store::RowKey key = groupRowKey(this->parts.settings.service, this->group);
+		const store::RowKey key = groupRowKey(this->dependencies.settings.service, this->group);
 		for (const store::Row& found : _rows.rows)
 		{
 			if (found.key == key && found.version > this->rowVersion)
@@ -321,19 +322,19 @@
 
 	aio::Task<void> Coordinator::checkRow()
 	{
-		const store::RowKey key = groupRowKey(this->parts.settings.service, this->group);
+		const store::RowKey key = groupRowKey(this->dependencies.settings.service, this->group);
 		while (!this->ended)
 		{
-			co_await this->waitForRowLook();
+			co_await this->waitForRowPoll();
 			const bool before = this->storeLost;
 			std::string failure;
 			try
 			{
-				// The row is read after the ranks were seen: a hold that it doesn't name is stray.
+				// The row is read after the ranks were seen, so a hold that isn't in the row is stray.
 				const std::vector<RankView> seenBefore = this->views(kViewMaxAgeMs);
-				const store::Rows rows = co_await this->parts.store.read(key.table, key.part, key.key);
+				const store::Rows rows = co_await this->dependencies.store.read(key.table, key.part, key.key);
 				this->storeLost = false;
-				this->takeRow(rows);
+				this->adoptNewerRow(rows);
 				this->releaseStrays(seenBefore);
 			}
 			catch (const kj::Exception& error)
--- a/src/group/coordinator_search.cpp
+++ b/src/group/coordinator_search.cpp
@@ -1,5 +1,4 @@
-/// The coordinator's part that finds the ranks of its group and asks each, through its daemon or
-/// directly.
+/// The part of the coordinator that finds the ranks of its group and polls engines directly.
 #include <algorithm>
 
 #include "base/log.h"
@@ -11,19 +10,19 @@
 {
 	namespace
 	{
-		/// A rank whose daemon is silent for this long is asked and ordered directly, ms: a frozen or
-		/// restarted daemon would keep its group on a map that no longer fits, with passes twice as
-		/// long, until it is back (4 s of a freeze of 4 s).
-		constexpr Millis kDirectAfterMs = 400;
-		/// The same for an upstream that isn't known to be in the group.
-		constexpr Millis kDirectSearchMs = 1'000;
-		/// Wait for the answers of those that are searched, ms: a zone that is far answers in 5.
-		constexpr Millis kSearchPatienceMs = 30;
+		/// Time without a response of a rank's daemon after which its engine is polled and ordered directly,
+		/// ms. Otherwise a frozen or restarted daemon would keep its group on an outdated map, with passes
+		/// twice as long, until it is back (all 4 s of a freeze of 4 s).
+		constexpr Millis kDaemonSilentMs = 400;
+		/// Interval between direct polls of an upstream that isn't known to be in the group, ms.
+		constexpr Millis kDirectSearchIntervalMs = 1'000;
+		/// Maximum wait for responses of searched upstreams, ms: a distant zone responds within 5.
+		constexpr Millis kSearchMaxWaitMs = 30;
 	} // namespace
 
 	Coordinator::Rank* Coordinator::findRank(const std::string& _engine)
 	{
-		for (auto* known : {&this->ranks, &this->strangers})
+		for (auto* known : {&this->ranks, &this->nonMembers})
 		{
 			const auto found = known->find(_engine);
 			if (known->end() != found)
@@ -37,38 +36,38 @@
 	Coordinator::Rank& Coordinator::rankAt(const std::string& _engine)
 	{
 		Rank* known = this->findRank(_engine);
-		Rank& rank = nullptr == known ? this->strangers[_engine] : *known;
+		Rank& rank = nullptr == known ? this->nonMembers[_engine] : *known;
 		rank.engineAddress = _engine;
 		return rank;
 	}
 
-	void Coordinator::invite(const std::string& _engine)
+	void Coordinator::addCandidate(const std::string& _engine)
 	{
 		Rank& rank = this->rankAt(_engine);
 		rank.search.listed = true;
 		rank.search.elsewhereAt = 0;
 	}
 
-	void Coordinator::meet(const std::string& _engine, Rank& _rank)
+	void Coordinator::ensureDirectEngine(const std::string& _engine, Rank& _rank)
 	{
 		if (nullptr == _rank.direct)
 		{
-			_rank.direct = std::make_unique<Engine>(this->parts.loop, this->parts.codec, _engine);
+			_rank.direct = std::make_unique<Engine>(this->dependencies.loop, this->dependencies.codec, _engine);
 			_rank.daemonHeardAt = nowMs();
 		}
 	}
 
-	void Coordinator::sortIn(const Rank& _rank)
+	void Coordinator::assignMembership(const Rank& _rank)
 	{
 		const bool belongs = _rank.report.group == this->group;
-		std::map<std::string, Rank>& from = belongs ? this->strangers : this->ranks;
-		std::map<std::string, Rank>& to = belongs ? this->ranks : this->strangers;
+		std::map<std::string, Rank>& from = belongs ? this->nonMembers : this->ranks;
+		std::map<std::string, Rank>& to = belongs ? this->ranks : this->nonMembers;
 		const std::string engine = _rank.engineAddress;
 		if (from.contains(engine))
 		{
 			to.insert(from.extract(engine));
 		}
-		// One that is in no group may join this one at any time.
+		// An engine that is in no group may join this one at any time.
 		const bool elsewhere = !belongs && !_rank.report.group.empty();
 		this->rankAt(engine).search.elsewhereAt = elsewhere ? nowMs() : 0;
 	}
@@ -90,70 +89,70 @@
 
 	bool Coordinator::daemonIsSilent(const Rank& _rank) const
 	{
-		return 0 != _rank.daemonHeardAt && nowMs() - _rank.daemonHeardAt > kDirectAfterMs;
+		return 0 != _rank.daemonHeardAt && nowMs() - _rank.daemonHeardAt > kDaemonSilentMs;
 	}
 
-	void Coordinator::askDirectly(const std::string& _engine, Rank& _rank, Millis _everyMs)
+	void Coordinator::pollDirectly(const std::string& _engine, Rank& _rank, Millis _intervalMs)
 	{
 		const Millis now = nowMs();
-		if (_rank.askingDirectly || now - _rank.directAt < _everyMs)
+		if (_rank.directPollInFlight || now - _rank.directPolledAt < _intervalMs)
 		{
 			return;
 		}
-		_rank.directAt = now;
+		_rank.directPolledAt = now;
 		std::string name = _engine;
-		this->tasks.add(this->observeDirectly(std::move(name)).take());
+		this->tasks.add(this->requestDirectReport(std::move(name)).take());
 	}
 
 	void Coordinator::searchGroup()
 	{
-		std::vector<Rank*> resting;
+		std::vector<Rank*> nonMemberRanks;
 		std::vector<SearchCandidate> candidates;
-		for (auto& [engine, rank] : this->strangers)
+		for (auto& [engine, rank] : this->nonMembers)
 		{
-			resting.push_back(&rank);
+			nonMemberRanks.push_back(&rank);
 			candidates.push_back(rank.search);
 		}
-		BranchQuestion question{this->coordination(), {}, kSearchPatienceMs, 0};
+		BranchQuery query{this->coordination(), {}, kSearchMaxWaitMs, 0};
 		for (const std::size_t index : searchRanks(candidates, this->progress(), nowMs()))
 		{
-			Rank& rank = *resting[index];
-			this->meet(rank.engineAddress, rank);
+			Rank& rank = *nonMemberRanks[index];
+			this->ensureDirectEngine(rank.engineAddress, rank);
 			rank.search.askedAt = nowMs();
-			question.engines.push_back(rank.engineAddress);
+			query.engines.push_back(rank.engineAddress);
 			if (this->daemonIsSilent(rank) && rank.search.listed)
 			{
-				this->askDirectly(rank.engineAddress, rank, kDirectSearchMs);
+				this->pollDirectly(rank.engineAddress, rank, kDirectSearchIntervalMs);
 			}
 		}
-		if (!question.engines.empty())
+		if (!query.engines.empty())
 		{
-			this->tasks.add(this->lookAtStrangers(std::move(question)).take());
+			this->tasks.add(this->pollNonMembers(std::move(query)).take());
 		}
 	}
 
-	aio::Task<void> Coordinator::lookAtStrangers(BranchQuestion _question)
+	aio::Task<void> Coordinator::pollNonMembers(BranchQuery _query)
 	{
-		co_await this->parts.fanOut.look(std::move(_question));
-		// All of them, not those of this question alone: with 32 connections to make, most answers come
-		// after a look has ended, and a coordinator that dropped them saw half of 129 ranks for 10 s.
+		co_await this->dependencies.fanOut.poll(std::move(_query));
+		// Includes responses to earlier queries: with 32 connections to open, most responses arrive after the
+		// poll has ended, and a coordinator that dropped them saw only half of 129 ranks for 10 s.
 		std::vector<std::string> engines;
-		for (const auto& [engine, rank] : this->strangers)
+		for (const auto& [engine, rank] : this->nonMembers)
 		{
 			engines.push_back(engine);
 		}
-		this->takeChildren(this->parts.fanOut.sights(engines), nowMs());
-		this->leaveStrangers();
+		this->applyChildSnapshots(this->dependencies.fanOut.snapshots(engines), nowMs());
+		this->disconnectNonMembers();
 	}
 
-	void Coordinator::leaveStrangers()
+	void Coordinator::disconnectNonMembers()
 	{
-		for (auto& [engine, rank] : this->strangers)
+		for (auto& [engine, rank] : this->nonMembers)
 		{
 			if (0 != rank.search.elsewhereAt)
 			{
-				this->parts.fanOut.forget(engine);
-				rank.direct = rank.askingDirectly ? std::move(rank.direct) : nullptr;
+				this->dependencies.fanOut.disconnect(engine);
+				rank.direct = rank.directPollInFlight ? std::move(rank.direct) : nullptr;
 			}
 		}
 	}
--- a/src/group/coordinator_tree.cpp
+++ b/src/group/coordinator_tree.cpp
@@ -1,4 +1,5 @@
-/// The coordinator's part that looks at its ranks through the tree, and sends news down it.
+/// The part of the coordinator that polls its ranks through the tree of relays and distributes news
+/// through it.
 #include <algorithm>
 
 #include "archdyke/map_policy.h"
@@ -11,41 +12,41 @@
 {
 	namespace
 	{
-		/// Counts of chosen experts may take this share of a link.
+		/// Maximum share of a link's rate for counts of expert choices.
 		constexpr double kSampleLinkShare = 0.2;
 		constexpr double kBytesPerMegabit = 125'000.0;
-		/// In large groups only some ranks are asked for counts, and less often: requests are
-		/// spread over all ranks, so what some chose tells what all choose.
+		/// Interval between samples of counts per rank of the group, ms. In large groups only some ranks are
+		/// sampled, and less often: requests are spread over all ranks, so a sample represents them all.
 		constexpr double kSampleMsPerRank = 1.5;
-		constexpr std::size_t kLeastSampled = 8;
-		/// Between two news of the group, ms: as old as loads may get before they are sent.
-		constexpr Millis kPublishMs = 50;
-		/// How long a branch waits for its slowest daemon, ms: most answer within 3, and what one
-		/// last said is told with its age.
-		constexpr Millis kBranchPatienceMs = 15;
-		/// Time limit of a question to a relay, ms: its patience, 5 ms across zones, and a daemon that
-		/// is short of processor. Then the other relay of the zone gets its ranks.
+		constexpr std::size_t kMinSampledRanks = 8;
+		/// Interval between news of the group, ms: the maximum age of loads when they are sent.
+		constexpr Millis kPublishIntervalMs = 50;
+		/// Maximum wait of a branch for its slowest daemon, ms: most respond within 3, and for a late one
+		/// its last report is returned with its age.
+		constexpr Millis kBranchMaxWaitMs = 15;
+		/// Timeout of a query to a relay, ms: the relay's wait, 5 ms across zones, and time for a daemon that
+		/// is short of CPU. After a timeout the other relay of the zone gets its ranks.
 		constexpr Millis kRelayTimeoutMs = 300;
-		/// Engines that are asked past their daemons at most: when more daemons are silent it is a zone, or
-		/// this VM's own link, and questions from here to each of them would only fill it.
-		constexpr std::size_t kMostDirect = 8;
-		/// A daemon that failed as a relay isn't one for this long, ms.
-		constexpr Millis kNoRelayMs = 2'000;
+		/// Maximum number of engines polled directly: if more daemons are silent, a zone or this VM's own
+		/// link has failed, and direct polls would only fill the link.
+		constexpr std::size_t kMaxDirectPolls = 8;
+		/// Time for which a daemon that failed as a relay isn't used as one, ms.
+		constexpr Millis kRelayExclusionMs = 2'000;
 		/// Key of the coordinator's own branch.
 		constexpr const char* kOwnBranch = "";
 	} // namespace
 
 	Millis Coordinator::sampleMs() const
 	{
-		return std::max(kIdleLookMs, Millis(kSampleMsPerRank * double(this->ranks.size())));
+		return std::max(kIdlePollIntervalMs, Millis(kSampleMsPerRank * double(this->ranks.size())));
 	}
 
 	std::size_t Coordinator::sampledRanks() const
 	{
 		const double bytes = !this->model ? 1.0 : double(this->model->sets) * this->model->experts;
-		const double bytesPerSecond = kSampleLinkShare * kBytesPerMegabit * this->parts.settings.place.linkMbps;
+		const double bytesPerSecond = kSampleLinkShare * kBytesPerMegabit * this->dependencies.settings.place.linkMbps;
 		const double affordable = bytesPerSecond * double(this->sampleMs()) / 1'000.0 / std::max(1.0, bytes);
-		return std::max(kLeastSampled, std::size_t(affordable));
+		return std::max(kMinSampledRanks, std::size_t(affordable));
 	}
 
 	std::vector<TreeMember> Coordinator::treeMembers() const
@@ -54,7 +55,7 @@
 		const Millis now = nowMs();
 		for (const auto& [engine, rank] : this->ranks)
 		{
-			const bool failed = 0 != rank.relayFailedAt && now - rank.relayFailedAt <= kNoRelayMs;
+			const bool failed = 0 != rank.relayFailedAt && now - rank.relayFailedAt <= kRelayExclusionMs;
 			const bool silent = 0 == rank.daemonHeardAt || this->daemonIsSilent(rank);
 			members.push_back({engine, rank.zone, failed ? rank.relayFailedAt : Millis(silent ? 1 : 0)});
 		}
@@ -66,35 +67,35 @@
 		Branch& branch = this->branches[_relay];
 		if (nullptr == branch.link && !_relay.empty())
 		{
-			branch.link = std::make_shared<RankLink>(this->parts.loop, daemonAddress(_relay, this->parts.settings.place.peerPort));
+			branch.link = std::make_shared<RankLink>(this->dependencies.loop, daemonAddress(_relay, this->dependencies.settings.place.peerPort));
 		}
 		return branch;
 	}
 
-	void Coordinator::askBranch(const std::vector<TreeMember>& _members, const TreeBranch& _branch, std::size_t _counted)
+	void Coordinator::pollBranch(const std::vector<TreeMember>& _members, const TreeBranch& _branch, std::size_t _enginesWithCounts)
 	{
 		std::string relay = _branch.relay ? _members[*_branch.relay].engine : kOwnBranch;
-		BranchQuestion question{this->coordination(), {}, kBranchPatienceMs, _counted};
+		BranchQuery query{this->coordination(), {}, kBranchMaxWaitMs, _enginesWithCounts};
 		for (const std::size_t index : _branch.members)
 		{
 			const std::string& engine = _members[index].engine;
-			this->meet(engine, this->ranks.at(engine));
+			this->ensureDirectEngine(engine, this->ranks.at(engine));
 			this->branchOf[engine] = relay;
-			question.engines.push_back(engine);
+			query.engines.push_back(engine);
 		}
 		Branch& branch = this->branchAt(relay);
-		// One question at a time: a link or a processor that is full isn't given more.
-		if (!branch.asking)
+		// One poll at a time, so that a saturated link or CPU doesn't get more.
+		if (!branch.pollInFlight)
 		{
-			branch.asking = true;
-			this->tasks.add(this->lookAt(std::move(relay), std::move(question)).take());
+			branch.pollInFlight = true;
+			this->tasks.add(this->requestBranchSnapshot(std::move(relay), std::move(query)).take());
 		}
 	}
 
-	void Coordinator::askRanks()
+	void Coordinator::pollRanks()
 	{
 		const Millis now = nowMs();
-		if (now - this->publishedAt >= kPublishMs)
+		if (now - this->publishedAt >= kPublishIntervalMs)
 		{
 			this->publish();
 			this->publishedAt = now;
@@ -103,100 +104,100 @@
 		this->countsAt = counts ? now : this->countsAt;
 		const std::vector<TreeMember> members = this->treeMembers();
 		const std::size_t sampled = this->sampledRanks();
-		std::size_t answers = 0; // with counts; those of a relay come added up in one
+		std::size_t responses = 0; // with counts; a relay sums up its ranks in one response
 		std::set<std::string> relays;
 		for (const TreeBranch& branch : makeTree(members))
 		{
-			const bool counted = counts && answers < sampled;
-			answers += branch.relay ? 1 : branch.members.size();
+			const bool withCounts = counts && responses < sampled;
+			responses += branch.relay ? 1 : branch.members.size();
 			relays.insert(branch.relay ? members[*branch.relay].engine : kOwnBranch);
-			this->askBranch(members, branch, counted ? sampled : 0);
+			this->pollBranch(members, branch, withCounts ? sampled : 0);
 		}
 		std::erase_if(this->branches, [&](const auto& _entry) {
-			return !_entry.second.asking && !relays.contains(_entry.first);
+			return !_entry.second.pollInFlight && !relays.contains(_entry.first);
 		});
 		std::size_t asked = 0;
 		for (auto& [engine, rank] : this->ranks)
 		{
-			if (asked < kMostDirect && this->daemonIsSilent(rank))
+			if (asked < kMaxDirectPolls && this->daemonIsSilent(rank))
 			{
 				asked += 1;
-				this->askDirectly(engine, rank, this->switchIsOpen() ? kDirectSwitchingMs : kDirectEveryMs);
+				this->pollDirectly(engine, rank, this->switchIsOpen() ? kDirectSwitchingPollIntervalMs : kDirectPollIntervalMs);
 			}
 		}
 		this->searchGroup();
 	}
 
-	void Coordinator::takeChildren(const std::vector<ChildSight>& _children, Millis _answeredAt)
+	void Coordinator::applyChildSnapshots(const std::vector<ChildSnapshot>& _children, Millis _answeredAt)
 	{
-		for (const ChildSight& child : _children)
+		for (const ChildSnapshot& child : _children)
 		{
 			Rank* rank = this->findRank(child.engine);
 			if (nullptr != rank)
 			{
 				rank->daemonHeardAt = std::max(rank->daemonHeardAt, _answeredAt - child.ageMs);
-				this->hear(*rank, child.report, _answeredAt - child.ageMs);
+				this->recordReport(*rank, child.report, _answeredAt - child.ageMs);
 			}
 		}
 	}
 
-	void Coordinator::takeSight(const BranchSight& _sight, Millis _askedAt)
+	void Coordinator::applyBranchSnapshot(const BranchSnapshot& _snapshot, Millis _askedAt)
 	{
-		const bool newer = _sight.newest.group == this->group && _sight.newest.term > this->intent.term;
+		const bool newer = _snapshot.newest.group == this->group && _snapshot.newest.term > this->intent.term;
 		if (newer && !this->ended)
 		{
-			logWarning("term_lost", {{"group", this->group}, {"term", this->intent.term}, {"newer", _sight.newest.term}, {"coordinator", _sight.newest.address}});
+			logWarning("term_lost", {{"group", this->group}, {"term", this->intent.term}, {"newer", _snapshot.newest.term}, {"coordinator", _snapshot.newest.address}});
 			this->end(CoordinatorEnd::TermLost);
 		}
-		// The earliest moment at which the branch can have answered: what it saw isn't taken for newer
-		// than it is, however long the answer was on its way.
-		this->takeChildren(_sight.children, _askedAt + _sight.tookMs);
-		if (!_sight.choices.choices.empty())
+		// The earliest time at which the branch can have responded, so that a response that was delayed on
+		// its way isn't taken for newer than it is.
+		this->applyChildSnapshots(_snapshot.children, _askedAt + _snapshot.tookMs);
+		if (!_snapshot.choices.choices.empty())
 		{
 			const Millis now = nowMs();
-			addPiece(this->window, {now - _sight.choices.spanMs, now, _sight.choices.epoch, _sight.choices.choices}, kCountWindowMs);
+			addPiece(this->window, {now - _snapshot.choices.spanMs, now, _snapshot.choices.epoch, _snapshot.choices.choices}, kCountWindowMs);
 		}
 	}
 
-	aio::Task<void> Coordinator::lookAt(std::string _relay, BranchQuestion _question)
+	aio::Task<void> Coordinator::requestBranchSnapshot(std::string _relay, BranchQuery _query)
 	{
 		Branch& branch = this->branches.at(_relay);
 		const Millis askedAt = nowMs();
 		std::string failure;
 		try
 		{
-			BranchSight sight;
+			BranchSnapshot snapshot;
 			if (_relay.empty())
 			{
-				sight = co_await this->parts.fanOut.look(std::move(_question));
+				snapshot = co_await this->dependencies.fanOut.poll(std::move(_query));
 			}
 			else
 			{
-				const std::uint64_t number = this->parts.knowledge.news.number;
-				NewsBundle bundle = branch.told == number ? NewsBundle() : this->parts.fanOut.newsWithin(branch.held);
-				branch.told = number;
+				const std::uint64_t number = this->dependencies.groupState.news.number;
+				NewsBundle bundle = branch.lastNewsSent == number ? NewsBundle() : this->dependencies.fanOut.newsWithinBudget(branch.held);
+				branch.lastNewsSent = number;
 				const std::shared_ptr<RankLink> link = branch.link;
-				sight = co_await link->relay(std::move(_question), std::move(bundle), kRelayTimeoutMs);
+				snapshot = co_await link->relay(std::move(_query), std::move(bundle), kRelayTimeoutMs);
 			}
-			branch.held = sight.held;
-			branch.gateways = sight.gateways;
+			branch.held = snapshot.held;
+			branch.gateways = snapshot.gateways;
 			branch.heardAt = nowMs();
-			this->takeSight(sight, askedAt);
+			this->applyBranchSnapshot(snapshot, askedAt);
 		}
 		catch (const kj::Exception& error)
 		{
 			failure = error.getDescription().cStr();
 		}
-		branch.asking = false;
+		branch.pollInFlight = false;
 		if (!failure.empty())
 		{
-			branch.held.reset(); // its daemon may be another process now
+			branch.held.reset(); // the daemon may have restarted
 			Rank* relay = this->findRank(_relay);
 			if (nullptr != relay)
 			{
 				relay->relayFailedAt = nowMs();
 			}
-			logWarning("relay_lost", {{"group", this->group}, {"relay", _relay}, {"reason", failure}, {"no_relay_ms", kNoRelayMs}});
+			logWarning("relay_lost", {{"group", this->group}, {"relay", _relay}, {"reason", failure}, {"no_relay_ms", kRelayExclusionMs}});
 		}
 	}
 
@@ -216,7 +217,7 @@
 
 	void Coordinator::publish()
 	{
-		GroupKnowledge& known = this->parts.knowledge;
+		GroupState& known = this->dependencies.groupState;
 		const Millis now = nowMs();
 		GroupNews news;
 		news.coordination = this->coordination();
@@ -250,10 +251,11 @@
 		news.rosterVersion = roster.version;
 		const GatewayTally tally = this->gatewayTally();
 		news.gateways = tally.count;
-		// Others' proofs count while this process has none of its own: that of one that just started names its first
-		// read as a change, and all gateways would look for it.
+		// Proofs reported by gateways are used while this process can't read the store itself. They aren't merged
+		// otherwise: a process that just started reports its first read as a change, and all gateways would
+		// read the store for it.
 		const store::ConfigurationProof own = store::proofOf(known.tables.operators);
-		news.proof = this->operatorsAnswered ? own : std::max(own, tally.proof);
+		news.proof = this->operatorsCallSucceeded ? own : std::max(own, tally.proof);
 		known.news = std::move(news);
 		known.newsAt = now;
 		known.roster = std::move(roster);
--- a/src/group/engine.cpp
+++ b/src/group/engine.cpp
@@ -6,10 +6,10 @@
 {
 	namespace
 	{
-		/// Time limit of a question, ms: an engine on the same VM answers within 1 ms, one in
-		/// another zone within 5.
+		/// Timeout of a request for a report or counts, ms: an engine on the same VM responds within 1 ms,
+		/// one in another zone within 5.
 		constexpr Millis kReportTimeoutMs = 200;
-		/// Time limit of an order, ms. One without an answer is sent again, so this is short.
+		/// Timeout of an order, ms. Short, because an order without a response is sent again.
 		constexpr Millis kOrderTimeoutMs = 60;
 		constexpr int kOk = 200;
 	} // namespace
@@ -35,7 +35,7 @@
 		const http::WholeAnswer answer = co_await http::exchange(this->pool, this->loop.timer, this->engineAddress, std::move(head), std::move(none), kReportTimeoutMs);
 		if (kOk != answer.head.status)
 		{
-			kj::throwFatalException(KJ_EXCEPTION(FAILED, "the engine answered a question with status", answer.head.status));
+			kj::throwFatalException(KJ_EXCEPTION(FAILED, "the engine responded to a request for its state with status", answer.head.status));
 		}
 		co_return answer.body;
 	}
--- a/src/group/engine.h
+++ b/src/group/engine.h
@@ -1,5 +1,5 @@
-/// The engine of one rank, asked over HTTP: by the sidecar on its VM, or from afar while that
-/// sidecar is away.
+/// HTTP client of the engine of one rank. Used by the sidecar on the engine's VM, and by the coordinator
+/// while that sidecar doesn't respond.
 #pragma once
 
 #include "group/engine_codec.h"
@@ -7,13 +7,13 @@
 
 namespace archdyke::group
 {
-	/// What became of an order.
+	/// The result of an order.
 	struct OrderOutcome
 	{
 		bool accepted = false;
-		int status = 0;                    ///< The engine's answer; 0 when there was none: it may be carried out late.
-		bool baseUnknown = false;          ///< Nothing was ordered: the daemon lacks the map it builds on.
-		std::optional<EngineReport> after; ///< The engine's state after the order, if it was asked.
+		int status = 0;                    ///< HTTP status of the engine; 0: no response, and the order may still be carried out.
+		bool baseUnknown = false;          ///< The order wasn't sent because the daemon lacks the base map.
+		std::optional<EngineReport> after; ///< The engine's state after the order, if known.
 
 		bool operator==(const OrderOutcome&) const = default;
 	};
@@ -23,11 +23,12 @@
 	public:
 		Engine(http::LoopParts _loop, EngineCodec _codec, std::string _address);
 
-		/// @throws kj::Exception When there is no usable answer in time.
+		/// @throws kj::Exception When there is no usable response in time.
 		aio::Task<EngineReport> report();
+		/// @throws kj::Exception When there is no usable response in time.
 		aio::Task<EngineCounts> counts();
 
-		/// Never throws for an engine that doesn't answer.
+		/// Doesn't throw when the engine doesn't respond: the outcome's status is 0 then.
 		aio::Task<OrderOutcome> order(EngineOrder _order);
 
 		const std::string& address() const;
--- a/src/group/engine_codec.h
+++ b/src/group/engine_codec.h
@@ -1,5 +1,5 @@
-/// How the engine of one rank is asked and ordered on a deployment: plain functions that an
-/// adapter provides. They translate, and decide nothing.
+/// Translation of an engine's HTTP messages on one kind of deployment: plain functions that an adapter
+/// provides. They only convert formats and make no decisions.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace archdyke::group
 {
-	/// What an engine says of itself.
+	/// An engine's report of its state.
 	struct EngineReport
 	{
 		std::string group; ///< Empty: it is in no group.
@@ -18,12 +18,12 @@
 		RankView view;
 		std::uint32_t queued = 0;
 		std::uint32_t active = 0;
-		double pace = 1.0; ///< Time of a step against the declared one.
+		double pace = 1.0; ///< Time of a step relative to the declared time.
 
 		bool operator==(const EngineReport&) const = default;
 	};
 
-	/// How often the requests of an engine chose each expert since its start.
+	/// How often an engine's requests have chosen each expert since the engine's start.
 	struct EngineCounts
 	{
 		std::uint64_t epoch = 0;
@@ -32,7 +32,7 @@
 		bool operator==(const EngineCounts&) const = default;
 	};
 
-	/// By set and rank, the experts.
+	/// Experts by set and rank.
 	using RankExperts = std::vector<std::vector<std::vector<std::uint32_t>>>;
 
 	/// An order for an engine.
@@ -42,7 +42,7 @@
 		std::uint64_t epoch = 0;
 		std::uint64_t version = 0;
 		std::uint64_t step = 0;
-		RankExperts expertsByRank; ///< Of a prepare.
+		RankExperts expertsByRank; ///< Only for a prepare order.
 
 		bool operator==(const EngineOrder&) const = default;
 	};
@@ -56,7 +56,7 @@
 		EngineReport (*decodeReport)(const std::string& _body);
 		EngineCounts (*decodeCounts)(const std::string& _body);
 		std::string (*encodeOrder)(const EngineOrder& _order);
-		/// Whether a status says that the order was begun or holds already.
+		/// Whether a status says that the order was begun or is already in effect.
 		bool (*isAccepted)(int _status);
 	};
 } // namespace archdyke::group
--- a/src/group/fan_out.cpp
+++ b/src/group/fan_out.cpp
@@ -10,20 +10,20 @@
 {
 	namespace
 	{
-		/// Time limit of a question to a rank's daemon, ms: some 5 ms across zones, more while the
-		/// link is full.
+		/// Timeout of a poll of a rank's daemon, ms: a round trip takes about 5 ms across zones, and more
+		/// while the link is saturated.
 		constexpr Millis kObserveTimeoutMs = 250;
-		/// Lists of upstreams and rosters may take this share of the link's rate: a group of 129 has
-		/// lists of 40 KB, and all of its daemons lack them when it starts. Sent at once they filled a
-		/// link of 6 Mbit/s for seconds, and no question was answered in time.
+		/// Maximum share of the link's rate for rosters and tables. A group of 129 has lists of 40 KB, which
+		/// all of its daemons lack at the start: sent at once, they saturated a link of 6 Mbit/s for
+		/// seconds, and all polls timed out.
 		constexpr double kListLinkShare = 0.25;
 		constexpr double kBytesPerMsOfMegabit = 125.0;
-		/// What may be saved up for lists, ms of their rate.
+		/// Maximum unused list budget that accumulates, in ms of the list rate.
 		constexpr Millis kListBurstMs = 100;
-		/// A child that wasn't asked for this long is another relay's, ms.
-		constexpr Millis kUnwantedMs = 5'000;
+		/// A child that wasn't used for this long now belongs to another relay, ms.
+		constexpr Millis kUnusedTimeoutMs = 5'000;
 
-		class FanOutErrors final : public kj::TaskSet::ErrorHandler
+		class FanOutErrorHandler final : public kj::TaskSet::ErrorHandler
 		{
 		public:
 			void taskFailed(kj::Exception&& _error) override
@@ -38,48 +38,48 @@
 		return _engine.substr(0, _engine.rfind(':') + 1) + std::to_string(_peerPort);
 	}
 
-	FanOut::FanOut(http::LoopParts _loop, int _peerPort, double _linkMbps, const GroupKnowledge& _knowledge)
+	FanOut::FanOut(http::LoopParts _loop, int _peerPort, double _linkMbps, const GroupState& _groupState)
 	    : loop(_loop)
 	    , peerPort(_peerPort)
 	    , listBytesPerMs(kListLinkShare * kBytesPerMsOfMegabit * _linkMbps)
-	    , knowledge(_knowledge)
-	    , errors(kj::heap<FanOutErrors>())
+	    , groupState(_groupState)
+	    , errors(kj::heap<FanOutErrorHandler>())
 	    , tasks(*this->errors)
 	{
 	}
 
-	NewsBundle FanOut::newsWithin(const std::optional<HeldVersions>& _held)
+	NewsBundle FanOut::newsWithinBudget(const std::optional<HeldVersions>& _held)
 	{
 		const Millis now = nowMs();
 		const double saved = this->listBytesPerMs * double(std::min(kListBurstMs, now - this->listBytesAt));
-		this->listBytesLeft = std::min(this->listBytesPerMs * double(kListBurstMs), this->listBytesLeft + saved);
+		this->listBudgetBytes = std::min(this->listBytesPerMs * double(kListBurstMs), this->listBudgetBytes + saved);
 		this->listBytesAt = now;
-		NewsBundle bundle = newsFor(this->knowledge, _held.value_or(HeldVersions()), now);
-		// Loads are of no use without the roster, and it is short: all daemons get it before any gets
-		// a table. After all of 72 daemons were killed, gateways followed their groups
-		// 0.65 s later when the lists went out together.
+		NewsBundle bundle = newsFor(this->groupState, _held.value_or(HeldVersions()), now);
+		// Loads are useless without the roster, and it is short: every daemon gets it before a table. When
+		// rosters and tables were sent together after all of 72 daemons had been killed, gateways followed
+		// their groups 0.65 s later.
 		const bool rosterFirst = 0 != bundle.roster.version;
-		if (!_held || !this->takeListBytes(bytesOf(bundle.roster)))
+		if (!_held || !this->consumeListBudget(wireBytes(bundle.roster)))
 		{
 			bundle.roster = {};
 		}
 		for (store::TableNews* table : {&bundle.tables.operators, &bundle.tables.crashes, &bundle.tables.upstreams})
 		{
-			if (!_held || rosterFirst || !this->takeListBytes(bytesOf(*table)))
+			if (!_held || rosterFirst || !this->consumeListBudget(wireBytes(*table)))
 			{
-				*table = {}; // not even up to which version it is: that would be taken for having it
+				*table = {}; // also clears the version, which the receiver would otherwise take for its own
 			}
 		}
 		return bundle;
 	}
 
-	bool FanOut::takeListBytes(std::size_t _bytes)
+	bool FanOut::consumeListBudget(std::size_t _bytes)
 	{
-		if (0 < _bytes && this->listBytesLeft <= 0.0)
+		if (0 < _bytes && this->listBudgetBytes <= 0.0)
 		{
 			return false;
 		}
-		this->listBytesLeft -= double(_bytes);
+		this->listBudgetBytes -= double(_bytes);
 		return true;
 	}
 
@@ -90,48 +90,48 @@
 		{
 			child.link = std::make_unique<RankLink>(this->loop, daemonAddress(_engine, this->peerPort));
 		}
-		child.wantedAt = nowMs();
+		child.lastUsedAt = nowMs();
 		return child;
 	}
 
-	void FanOut::forgetUnwanted()
+	void FanOut::removeUnused()
 	{
 		const Millis now = nowMs();
 		std::erase_if(this->children, [&](const auto& _entry) {
-			return !_entry.second.asking && now - _entry.second.wantedAt > kUnwantedMs;
+			return !_entry.second.pollInFlight && now - _entry.second.lastUsedAt > kUnusedTimeoutMs;
 		});
 	}
 
-	void FanOut::forget(const std::string& _engine)
+	void FanOut::disconnect(const std::string& _engine)
 	{
 		const auto child = this->children.find(_engine);
-		if (this->children.end() != child && !child->second.asking)
+		if (this->children.end() != child && !child->second.pollInFlight)
 		{
 			this->children.erase(child);
 		}
 	}
 
-	void FanOut::release(Awaited& _awaited)
+	void FanOut::completeOne(PendingResponses& _pendingResponses)
 	{
-		_awaited.left -= 1;
-		if (0 == _awaited.left)
+		_pendingResponses.remaining -= 1;
+		if (0 == _pendingResponses.remaining)
 		{
-			_awaited.done->fulfill();
+			_pendingResponses.done->fulfill();
 		}
 	}
 
-	kj::Promise<void> FanOut::wait(const std::shared_ptr<Awaited>& _awaited, kj::Promise<void> _done, Millis _patienceMs)
+	kj::Promise<void> FanOut::wait(const std::shared_ptr<PendingResponses>& _pendingResponses, kj::Promise<void> _done, Millis _maxWaitMs)
 	{
-		if (0 == _awaited->left)
+		if (0 == _pendingResponses->remaining)
 		{
 			return kj::READY_NOW;
 		}
-		return _done.exclusiveJoin(this->loop.timer.afterDelay(_patienceMs * kj::MILLISECONDS));
+		return _done.exclusiveJoin(this->loop.timer.afterDelay(_maxWaitMs * kj::MILLISECONDS));
 	}
 
-	void FanOut::noteFailure(const std::string& _engine, Child& _child, const std::string& _failure)
+	void FanOut::recordFailure(const std::string& _engine, Child& _child, const std::string& _failure)
 	{
-		// One line when it begins to fail and one when it ends, not one a look.
+		// Logs only when the failures begin and when they end, not at each poll.
 		if (_child.lastFailure.empty() != _failure.empty())
 		{
 			const Millis now = nowMs();
@@ -141,9 +141,9 @@
 		_child.lastFailure = _failure;
 	}
 
-	void FanOut::takeReport(Child& _child, const EngineReport& _report, Millis _askedAt)
+	void FanOut::recordReport(Child& _child, const EngineReport& _report, Millis _askedAt)
 	{
-		if (_child.askedAt <= _askedAt) // else an order that was sent later was answered before
+		if (_child.askedAt <= _askedAt) // otherwise the response to a later order arrived earlier
 		{
 			_child.report = _report;
 			_child.askedAt = _askedAt;
@@ -151,9 +151,9 @@
 		}
 	}
 
-	void FanOut::hear(Child& _child, Millis _askedAt, const Observation& _observation)
+	void FanOut::recordObservation(Child& _child, Millis _askedAt, const Observation& _observation)
 	{
-		takeReport(_child, _observation.report.engine, _askedAt);
+		recordReport(_child, _observation.report.engine, _askedAt);
 		_child.newest = _observation.newest;
 		_child.gateways = _observation.gateways;
 		_child.held = _observation.held;
@@ -163,8 +163,8 @@
 			return;
 		}
 		const Millis now = nowMs();
-		const bool follows = 0 != sample.since && sample.since == _child.sample && sample.epoch == _child.sampleEpoch;
-		if (follows)
+		const bool continuesLastSample = 0 != sample.since && sample.since == _child.sample && sample.epoch == _child.sampleEpoch;
+		if (continuesLastSample)
 		{
 			_child.choices = {sample.epoch, now - _child.sampledAt, sample.choices};
 		}
@@ -173,32 +173,32 @@
 		_child.sampledAt = now;
 	}
 
-	aio::Task<void> FanOut::observe(std::string _engine, Coordination _coordination, bool _counts, std::shared_ptr<Awaited> _awaited)
+	aio::Task<void> FanOut::observe(std::string _engine, Coordination _coordination, bool _counts, std::shared_ptr<PendingResponses> _pendingResponses)
 	{
 		Child& child = this->children.at(_engine);
 		const Millis askedAt = nowMs();
 		std::string failure;
 		try
 		{
-			const std::pair<std::uint64_t, std::uint64_t> newest{this->knowledge.news.coordination.term, this->knowledge.news.number};
-			NewsBundle bundle = child.told == newest ? NewsBundle() : this->newsWithin(child.held);
-			child.told = newest;
+			const std::pair<std::uint64_t, std::uint64_t> newest{this->groupState.news.coordination.term, this->groupState.news.number};
+			NewsBundle bundle = child.lastNewsSent == newest ? NewsBundle() : this->newsWithinBudget(child.held);
+			child.lastNewsSent = newest;
 			const Observation observation = co_await child.link->observe(std::move(_coordination), _counts, child.sample, std::move(bundle), kObserveTimeoutMs);
-			this->hear(child, askedAt, observation);
+			this->recordObservation(child, askedAt, observation);
 		}
 		catch (const kj::Exception& error)
 		{
 			failure = error.getDescription().cStr();
-			child.held.reset(); // it may be another process now
+			child.held.reset(); // the daemon may have restarted
 		}
-		child.asking = false;
-		this->noteFailure(_engine, child, failure);
-		release(*_awaited);
+		child.pollInFlight = false;
+		this->recordFailure(_engine, child, failure);
+		completeOne(*_pendingResponses);
 	}
 
-	std::vector<ChildSight> FanOut::sights(const std::vector<std::string>& _engines) const
+	std::vector<ChildSnapshot> FanOut::snapshots(const std::vector<std::string>& _engines) const
 	{
-		std::vector<ChildSight> result;
+		std::vector<ChildSnapshot> result;
 		const Millis now = nowMs();
 		for (const std::string& engine : _engines)
 		{
@@ -226,10 +226,10 @@
 		return result;
 	}
 
-	Coordination FanOut::newestOf(const BranchQuestion& _question) const
+	Coordination FanOut::newestOf(const BranchQuery& _query) const
 	{
-		Coordination newest = _question.coordination;
-		for (const std::string& engine : _question.engines)
+		Coordination newest = _query.coordination;
+		for (const std::string& engine : _query.engines)
 		{
 			const auto child = this->children.find(engine);
 			const Coordination heard = this->children.end() == child ? Coordination() : child->second.newest;
@@ -264,45 +264,45 @@
 		return sum;
 	}
 
-	aio::Task<BranchSight> FanOut::look(BranchQuestion _question)
+	aio::Task<BranchSnapshot> FanOut::poll(BranchQuery _query)
 	{
 		const Millis since = nowMs();
-		const std::shared_ptr<Awaited> awaited = std::make_shared<Awaited>();
+		const std::shared_ptr<PendingResponses> pendingResponses = std::make_shared<PendingResponses>();
 		auto paf = kj::newPromiseAndFulfiller<void>();
-		awaited->done = kj::mv(paf.fulfiller);
+		pendingResponses->done = kj::mv(paf.fulfiller);
 		std::vector<std::string> asked;
-		for (const std::string& engine : _question.engines)
+		for (const std::string& engine : _query.engines)
 		{
 			Child& child = this->childAt(engine);
-			if (!child.asking)
+			if (!child.pollInFlight)
 			{
-				child.asking = true;
+				child.pollInFlight = true;
 				asked.push_back(engine);
 			}
 		}
-		awaited->left = asked.size();
+		pendingResponses->remaining = asked.size();
 		for (std::size_t index = 0; index < asked.size(); ++index)
 		{
-			const auto place = std::find(_question.engines.begin(), _question.engines.end(), asked[index]);
-			const bool counts = std::size_t(place - _question.engines.begin()) < _question.counted;
+			const auto position = std::find(_query.engines.begin(), _query.engines.end(), asked[index]);
+			const bool counts = std::size_t(position - _query.engines.begin()) < _query.enginesWithCounts;
 			std::string engine = asked[index];
-			Coordination coordination = _question.coordination;
-			std::shared_ptr<Awaited> waiting = awaited;
+			Coordination coordination = _query.coordination;
+			std::shared_ptr<PendingResponses> waiting = pendingResponses;
 			this->tasks.add(this->observe(std::move(engine), std::move(coordination), counts, std::move(waiting)).take());
 		}
-		co_await this->wait(awaited, kj::mv(paf.promise), _question.patienceMs);
-		BranchSight sight;
-		sight.children = this->sights(_question.engines);
-		sight.choices = this->takeChoices(_question.engines);
-		sight.gateways = this->tally(_question.engines);
-		sight.newest = this->newestOf(_question);
-		sight.held = heldOf(this->knowledge);
-		sight.tookMs = nowMs() - since;
-		this->forgetUnwanted();
-		co_return sight;
+		co_await this->wait(pendingResponses, kj::mv(paf.promise), _query.maxWaitMs);
+		BranchSnapshot snapshot;
+		snapshot.children = this->snapshots(_query.engines);
+		snapshot.choices = this->takeChoices(_query.engines);
+		snapshot.gateways = this->tally(_query.engines);
+		snapshot.newest = this->newestOf(_query);
+		snapshot.held = heldVersions(this->groupState);
+		snapshot.tookMs = nowMs() - since;
+		this->removeUnused();
+		co_return snapshot;
 	}
 
-	aio::Task<void> FanOut::order(std::string _engine, std::size_t _place, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<Awaited> _awaited)
+	aio::Task<void> FanOut::sendOrder(std::string _engine, std::size_t _place, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<PendingResponses> _pendingResponses)
 	{
 		const Millis askedAt = nowMs();
 		try
@@ -310,10 +310,10 @@
 			EngineOrder copy = _order->order;
 			MapDifference difference = _order->difference;
 			Coordination coordination = _order->coordination;
-			const OrderOutcome outcome = co_await this->childAt(_engine).link->order(std::move(coordination), std::move(copy), std::move(difference), _order->patienceMs);
+			const OrderOutcome outcome = co_await this->childAt(_engine).link->order(std::move(coordination), std::move(copy), std::move(difference), _order->maxWaitMs);
 			if (outcome.after)
 			{
-				takeReport(this->childAt(_engine), *outcome.after, askedAt);
+				recordReport(this->childAt(_engine), *outcome.after, askedAt);
 			}
 			_outcome->outcomes[_place] = outcome;
 		}
@@ -321,28 +321,28 @@
 		{
 			logWarning("order_unanswered", {{"engine", _engine}, {"kind", toString(_order->order.kind)}, {"reason", error.getDescription().cStr()}});
 		}
-		release(*_awaited);
+		completeOne(*_pendingResponses);
 	}
 
-	aio::Task<BranchOutcome> FanOut::give(BranchOrder _order)
+	aio::Task<BranchOutcome> FanOut::broadcast(BranchOrder _order)
 	{
 		const Millis since = nowMs();
 		const std::shared_ptr<const BranchOrder> order = std::make_shared<const BranchOrder>(std::move(_order));
 		const std::shared_ptr<BranchOutcome> outcome = std::make_shared<BranchOutcome>();
-		const std::shared_ptr<Awaited> awaited = std::make_shared<Awaited>();
+		const std::shared_ptr<PendingResponses> pendingResponses = std::make_shared<PendingResponses>();
 		auto paf = kj::newPromiseAndFulfiller<void>();
-		awaited->done = kj::mv(paf.fulfiller);
-		awaited->left = order->engines.size();
+		pendingResponses->done = kj::mv(paf.fulfiller);
+		pendingResponses->remaining = order->engines.size();
 		outcome->outcomes.resize(order->engines.size());
 		for (std::size_t place = 0; place < order->engines.size(); ++place)
 		{
 			std::string engine = order->engines[place];
-			this->childAt(engine); // before any coroutine holds a place in the map
-			this->tasks.add(this->order(std::move(engine), place, order, outcome, awaited).take());
+			this->childAt(engine); // creates the child before any coroutine refers to one
+			this->tasks.add(this->sendOrder(std::move(engine), place, order, outcome, pendingResponses).take());
 		}
-		co_await this->wait(awaited, kj::mv(paf.promise), order->patienceMs);
+		co_await this->wait(pendingResponses, kj::mv(paf.promise), order->maxWaitMs);
 		BranchOutcome result = *outcome;
-		result.children = this->sights(order->engines);
+		result.children = this->snapshots(order->engines);
 		result.tookMs = nowMs() - since;
 		co_return result;
 	}
--- a/src/group/fan_out.h
+++ b/src/group/fan_out.h
@@ -1,8 +1,8 @@
-/// Looks at the daemons of some engines and orders them, all at once: one branch of the tree, played
-/// by a relay, or by the coordinator itself when its group is small.
+/// Polls the daemons of several engines and sends them orders, all in parallel. This is one branch of
+/// the tree; it runs in a relay, or in the coordinator itself if the group is small.
 ///
-/// It decides nothing and holds no truth: what it knows of a child is what the child last said, with
-/// its age. A relay that is replaced loses counts of one interval.
+/// It makes no decisions and its state is a cache: for each child the last report, with its age. If a
+/// relay is replaced, the counts of one interval are lost.
 #pragma once
 
 #include <map>
@@ -15,82 +15,82 @@
 	class FanOut
 	{
 	public:
-		/// @param[in] _peerPort Where daemons listen.
-		/// @param[in] _linkMbps Of the VM.
-		/// @param[in] _knowledge What the children are told of the group.
-		FanOut(http::LoopParts _loop, int _peerPort, double _linkMbps, const GroupKnowledge& _knowledge);
+		/// @param[in] _peerPort Port at which daemons listen.
+		/// @param[in] _linkMbps Link rate of the VM, Mbit/s.
+		/// @param[in] _groupState State of the group that is distributed to the children.
+		FanOut(http::LoopParts _loop, int _peerPort, double _linkMbps, const GroupState& _groupState);
 
-		/// @returns News for one who holds some of it: lists come within a share of the link's rate,
-		/// the state of the group always. Whoever gets none this time is told with the next question.
-		/// @param[in] _held What he holds; none: he hasn't said so yet, and gets no list.
-		NewsBundle newsWithin(const std::optional<HeldVersions>& _held);
+		/// @returns News for a receiver that has some of it: always the state of the group, and rosters and
+		/// tables within a share of the link's rate. What doesn't fit is sent with a later poll.
+		/// @param[in] _held Versions that the receiver has; none: not known yet, so it gets no lists.
+		NewsBundle newsWithinBudget(const std::optional<HeldVersions>& _held);
 
-		/// Asks each daemon that has no question to answer, and waits for them.
-		aio::Task<BranchSight> look(BranchQuestion _question);
+		/// Polls each daemon that has no poll in flight, and waits for the responses.
+		aio::Task<BranchSnapshot> poll(BranchQuery _query);
 
-		/// Closes the link to an engine's daemon, unless it has a question to answer.
-		void forget(const std::string& _engine);
+		/// Closes the connection to an engine's daemon unless a poll is in flight.
+		void disconnect(const std::string& _engine);
 
-		/// @returns What was heard of engines lately, also by answers that came after a look had ended.
-		std::vector<ChildSight> sights(const std::vector<std::string>& _engines) const;
+		/// @returns Recent reports of engines, including those that arrived after a poll had ended.
+		std::vector<ChildSnapshot> snapshots(const std::vector<std::string>& _engines) const;
 
-		/// Gives all the order, and waits for what becomes of it.
-		aio::Task<BranchOutcome> give(BranchOrder _order);
+		/// Sends the order to all its engines and waits for the outcomes.
+		aio::Task<BranchOutcome> broadcast(BranchOrder _order);
 
 	private:
 		struct Child
 		{
 			std::unique_ptr<RankLink> link;
-			bool asking = false;
-			Millis wantedAt = 0; ///< When it was last asked for.
-			Millis askedAt = 0;  ///< When the question was sent that the report answers.
-			Millis heardAt = 0;  ///< When the report came; 0: never.
+			bool pollInFlight = false;
+			Millis lastUsedAt = 0; ///< When a query or an order last named it.
+			Millis askedAt = 0;    ///< When the request was sent that the report answers.
+			Millis heardAt = 0;    ///< When the report arrived; 0: never.
 			EngineReport report;
-			Coordination newest; ///< That its daemon heard of.
+			Coordination newest; ///< The newest coordinator that its daemon knows.
 			GatewayTally gateways;
-			std::pair<std::uint64_t, std::uint64_t> told; ///< Term and number of the last news that it was sent.
+			std::pair<std::uint64_t, std::uint64_t> lastNewsSent; ///< Term and number of the last news sent to it.
 			std::optional<HeldVersions> held;
 			std::uint64_t sample = 0; ///< Last sample of counts; 0: none.
 			std::uint64_t sampleEpoch = 0;
 			Millis sampledAt = 0;
-			ChoiceSum choices;       ///< Not told yet.
-			std::string lastFailure; ///< Empty while it answers.
+			ChoiceSum choices;       ///< Not returned yet.
+			std::string lastFailure; ///< Empty while it responds.
 			Millis failingSince = 0;
 		};
 
-		/// Children that somebody waits for.
-		struct Awaited
+		/// Responses that a query or an order waits for.
+		struct PendingResponses
 		{
-			std::size_t left = 0;
+			std::size_t remaining = 0;
 			kj::Own<kj::PromiseFulfiller<void>> done;
 		};
 
-		/// Takes a list's bytes out of what lists may take of the link.
-		/// @returns false when they have taken it all for now.
-		bool takeListBytes(std::size_t _bytes);
+		/// Deducts a list's size from the budget for lists.
+		/// @returns false if the budget is used up for now.
+		bool consumeListBudget(std::size_t _bytes);
 		Child& childAt(const std::string& _engine);
-		void forgetUnwanted();
-		aio::Task<void> observe(std::string _engine, Coordination _coordination, bool _counts, std::shared_ptr<Awaited> _awaited);
-		aio::Task<void> order(std::string _engine, std::size_t _place, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<Awaited> _awaited);
-		/// Keeps a report, unless a later question was answered before.
-		static void takeReport(Child& _child, const EngineReport& _report, Millis _askedAt);
-		void hear(Child& _child, Millis _askedAt, const Observation& _observation);
-		void noteFailure(const std::string& _engine, Child& _child, const std::string& _failure);
-		static void release(Awaited& _awaited);
-		/// Waits for the awaited, or for as long as patience lasts.
-		kj::Promise<void> wait(const std::shared_ptr<Awaited>& _awaited, kj::Promise<void> _done, Millis _patienceMs);
+		void removeUnused();
+		aio::Task<void> observe(std::string _engine, Coordination _coordination, bool _counts, std::shared_ptr<PendingResponses> _pendingResponses);
+		aio::Task<void> sendOrder(std::string _engine, std::size_t _place, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<PendingResponses> _pendingResponses);
+		/// Records a report unless the response to a later request has already arrived.
+		static void recordReport(Child& _child, const EngineReport& _report, Millis _askedAt);
+		void recordObservation(Child& _child, Millis _askedAt, const Observation& _observation);
+		void recordFailure(const std::string& _engine, Child& _child, const std::string& _failure);
+		static void completeOne(PendingResponses& _pendingResponses);
+		/// Waits until all responses have arrived, but no longer than the maximum wait.
+		kj::Promise<void> wait(const std::shared_ptr<PendingResponses>& _pendingResponses, kj::Promise<void> _done, Millis _maxWaitMs);
 		GatewayTally tally(const std::vector<std::string>& _engines) const;
-		/// @returns The coordinator with the highest term that a child heard of, or that asks.
-		Coordination newestOf(const BranchQuestion& _question) const;
+		/// @returns The coordinator with the highest term among the querying one and those known to children.
+		Coordination newestOf(const BranchQuery& _query) const;
 		ChoiceSum takeChoices(const std::vector<std::string>& _engines);
 
 		http::LoopParts loop;
 		const int peerPort;
 		const double listBytesPerMs;
-		double listBytesLeft = 0.0; ///< That lists may take now; below 0 after one that was longer.
+		double listBudgetBytes = 0.0; ///< Bytes that lists may use now; negative after a list larger than the budget.
 		Millis listBytesAt = 0;
-		const GroupKnowledge& knowledge;
-		std::map<std::string, Child> children; ///< By engine; never erased while its daemon has a question to answer.
+		const GroupState& groupState;
+		std::map<std::string, Child> children; ///< By engine; never erased while a poll is in flight.
 		kj::Own<kj::TaskSet::ErrorHandler> errors;
 		kj::TaskSet tasks;
 	};
--- a/src/group/group_news.cpp
+++ b/src/group/group_news.cpp
@@ -7,11 +7,11 @@
 {
 	namespace
 	{
-		/// A gateway that hasn't asked for this long is gone, ms: some of its questions. One that
-		/// changes its daemon is counted twice meanwhile.
-		constexpr Millis kGatewayGoneMs = 2'000;
+		/// A gateway that hasn't polled for this long isn't counted any more, ms: several of its polls. A
+		/// gateway that changes its daemon is counted twice during this time.
+		constexpr Millis kGatewayTimeoutMs = 2'000;
 
-		/// Lengths on the wire, beside texts, by src/rank.capnp.
+		/// Lengths on the wire without texts, from src/rank.capnp.
 		constexpr std::size_t kEndpointBytes = 8;
 		constexpr std::size_t kRowBytes = 48;
 
@@ -31,42 +31,42 @@
 		return {_a.count + _b.count, std::max(_a.proof, _b.proof)};
 	}
 
-	void takeNews(GroupKnowledge& _knowledge, const NewsBundle& _bundle, Millis _now)
+	void applyNews(GroupState& _groupState, const NewsBundle& _bundle, Millis _now)
 	{
-		if (0 != _bundle.news.number && isNewer(_bundle.news, _knowledge.news))
+		if (0 != _bundle.news.number && isNewer(_bundle.news, _groupState.news))
 		{
-			_knowledge.news = _bundle.news;
-			_knowledge.newsAt = _now;
+			_groupState.news = _bundle.news;
+			_groupState.newsAt = _now;
 		}
-		if (0 != _bundle.roster.version && isNewer(_bundle.roster, _knowledge.roster))
+		if (0 != _bundle.roster.version && isNewer(_bundle.roster, _groupState.roster))
 		{
-			_knowledge.roster = _bundle.roster;
+			_groupState.roster = _bundle.roster;
 		}
-		// One that can't be used is forgotten, and so held at no version: it is told whole next.
-		store::takeNews(_knowledge.tables.operators, _bundle.tables.operators);
-		store::takeNews(_knowledge.tables.crashes, _bundle.tables.crashes);
-		store::takeNews(_knowledge.tables.upstreams, _bundle.tables.upstreams);
+		// A table whose news can't be applied is cleared, and its version with it, so it is sent whole next.
+		store::takeNews(_groupState.tables.operators, _bundle.tables.operators);
+		store::takeNews(_groupState.tables.crashes, _bundle.tables.crashes);
+		store::takeNews(_groupState.tables.upstreams, _bundle.tables.upstreams);
 	}
 
-	NewsBundle newsFor(const GroupKnowledge& _knowledge, const HeldVersions& _held, Millis _now)
+	NewsBundle newsFor(const GroupState& _groupState, const HeldVersions& _held, Millis _now)
 	{
 		NewsBundle bundle;
-		bundle.news = _knowledge.news;
-		bundle.news.ageMs += _now - _knowledge.newsAt;
-		const bool held = _held.rosterTerm == _knowledge.roster.term && _held.rosterVersion == _knowledge.roster.version;
-		bundle.roster = held ? Roster() : _knowledge.roster;
-		bundle.tables.operators = store::newsSince(_knowledge.tables.operators, _held.tables.operators);
-		bundle.tables.crashes = store::newsSince(_knowledge.tables.crashes, _held.tables.crashes);
-		bundle.tables.upstreams = store::newsSince(_knowledge.tables.upstreams, _held.tables.upstreams);
+		bundle.news = _groupState.news;
+		bundle.news.ageMs += _now - _groupState.newsAt;
+		const bool held = _held.rosterTerm == _groupState.roster.term && _held.rosterVersion == _groupState.roster.version;
+		bundle.roster = held ? Roster() : _groupState.roster;
+		bundle.tables.operators = store::newsSince(_groupState.tables.operators, _held.tables.operators);
+		bundle.tables.crashes = store::newsSince(_groupState.tables.crashes, _held.tables.crashes);
+		bundle.tables.upstreams = store::newsSince(_groupState.tables.upstreams, _held.tables.upstreams);
 		return bundle;
 	}
 
-	std::size_t bytesOf(const Roster& _roster)
+	std::size_t wireBytes(const Roster& _roster)
 	{
 		return kEndpointBytes * _roster.engines.size();
 	}
 
-	std::size_t bytesOf(const store::TableNews& _news)
+	std::size_t wireBytes(const store::TableNews& _news)
 	{
 		std::size_t bytes = 0;
 		for (const store::Row& row : _news.rows)
@@ -80,28 +80,28 @@
 		return bytes;
 	}
 
-	HeldVersions heldOf(const GroupKnowledge& _knowledge)
+	HeldVersions heldVersions(const GroupState& _groupState)
 	{
-		return {_knowledge.roster.term, _knowledge.roster.version, store::versionsOf(_knowledge.tables)};
+		return {_groupState.roster.term, _groupState.roster.version, store::versionsOf(_groupState.tables)};
 	}
 
-	void noteGateway(GroupKnowledge& _knowledge, const std::string& _name, const store::ConfigurationProof& _proof, Millis _now)
+	void recordGateway(GroupState& _groupState, const std::string& _name, const store::ConfigurationProof& _proof, Millis _now)
 	{
 		if (!_name.empty())
 		{
-			_knowledge.gateways[_name] = {_now, _proof};
+			_groupState.gateways[_name] = {_now, _proof};
 		}
-		std::erase_if(_knowledge.gateways, [&](const auto& _entry) {
-			return _now - _entry.second.askedAt > kGatewayGoneMs;
+		std::erase_if(_groupState.gateways, [&](const auto& _entry) {
+			return _now - _entry.second.askedAt > kGatewayTimeoutMs;
 		});
 	}
 
-	GatewayTally tallyOf(const GroupKnowledge& _knowledge, Millis _now)
+	GatewayTally tallyOf(const GroupState& _groupState, Millis _now)
 	{
 		GatewayTally tally;
-		for (const auto& [name, gateway] : _knowledge.gateways)
+		for (const auto& [name, gateway] : _groupState.gateways)
 		{
-			if (_now - gateway.askedAt <= kGatewayGoneMs)
+			if (_now - gateway.askedAt <= kGatewayTimeoutMs)
 			{
 				tally = merged(tally, {1, gateway.proof});
 			}
--- a/src/group/group_news.h
+++ b/src/group/group_news.h
@@ -1,5 +1,5 @@
-/// What a coordinator tells of its group, as daemons keep it and pass it on: newest wins, with its
-/// age, so that a daemon that is lost on the way costs no more than the next message.
+/// News of a group: what its coordinator publishes, and daemons store and pass on to each other and to
+/// gateways. The newest news replace older ones, so if a daemon on the way fails, the next message is enough.
 #pragma once
 
 #include <map>
@@ -11,58 +11,58 @@
 
 namespace archdyke::group
 {
-	/// Who is in a group.
+	/// The members of a group.
 	struct Roster
 	{
 		std::uint64_t term = 0;           ///< Of the coordinator that made it.
-		std::uint64_t version = 0;        ///< Rises with each change within a term; 0: unknown.
-		std::vector<std::string> engines; ///< IP:port by rank; empty for one that isn't known.
+		std::uint64_t version = 0;        ///< Incremented by each change within a term; 0: unknown.
+		std::vector<std::string> engines; ///< IP:port by rank; empty for an unknown one.
 
 		bool operator==(const Roster&) const = default;
 	};
 
-	/// A rank whose steps don't take the declared time.
+	/// A rank whose steps take longer or shorter than declared.
 	struct RankPace
 	{
 		std::uint32_t rank = 0;
-		double pace = 1.0; ///< Time of a step against the declared one.
+		double pace = 1.0; ///< Time of a step relative to the declared time.
 
 		bool operator==(const RankPace&) const = default;
 	};
 
-	/// The gateways that ask some daemons, summed up.
+	/// Number of gateways that poll some daemons, and their latest proof.
 	struct GatewayTally
 	{
 		std::uint32_t count = 0;
-		store::ConfigurationProof proof; ///< The latest that any of them told.
+		store::ConfigurationProof proof; ///< The latest one that any of them reported.
 
 		bool operator==(const GatewayTally&) const = default;
 	};
 
-	/// @returns Both together.
+	/// @returns The sum of the counts and the later proof.
 	GatewayTally merged(const GatewayTally& _a, const GatewayTally& _b);
 
-	/// Load told for a rank that wasn't heard lately.
+	/// Load of a rank without a recent report.
 	constexpr std::uint8_t kLoadUnknown = 255;
 
 	struct GroupNews
 	{
 		Coordination coordination;
-		std::uint64_t number = 0; ///< Rises within a term; 0: nothing is known.
+		std::uint64_t number = 0; ///< Rises within a term; 0: no news yet.
 		Millis ageMs = 0;         ///< Since the coordinator made it.
 		bool open = true;
 		double passMs = 0.0;
-		std::uint64_t rosterTerm = 0; ///< Of the roster that the loads are for.
+		std::uint64_t rosterTerm = 0; ///< Term of the roster that the loads refer to.
 		std::uint64_t rosterVersion = 0;
 		std::vector<std::uint8_t> loads; ///< Requests running and waiting, by rank.
-		std::vector<RankPace> paces;     ///< Ranks that aren't as declared.
-		std::uint32_t gateways = 0;      ///< That ask the daemons of the group.
-		store::ConfigurationProof proof; ///< The latest that is known in the group.
+		std::vector<RankPace> paces;     ///< Ranks whose pace isn't 1.
+		std::uint32_t gateways = 0;      ///< Number of gateways that poll daemons of the group.
+		store::ConfigurationProof proof; ///< The latest one known in the group.
 
 		bool operator==(const GroupNews&) const = default;
 	};
 
-	/// What somebody has already, so that he isn't told again.
+	/// Versions that a receiver already has, so that they aren't sent again.
 	struct HeldVersions
 	{
 		std::uint64_t rosterTerm = 0;
@@ -72,20 +72,20 @@
 		bool operator==(const HeldVersions&) const = default;
 	};
 
-	/// News as they are sent, with what the receiver lacks.
+	/// News as sent to a receiver, with the lists that it lacks.
 	struct NewsBundle
 	{
 		GroupNews news;
-		Roster roster; ///< Version 0 when the receiver has it.
+		Roster roster; ///< Version 0 if the receiver has it or it doesn't fit into the budget.
 		store::TablesNews tables;
 
 		bool operator==(const NewsBundle&) const = default;
 	};
 
-	/// What a daemon knows of its group.
-	struct GroupKnowledge
+	/// State of a daemon's group, as known to the daemon.
+	struct GroupState
 	{
-		/// A gateway that asks this daemon.
+		/// A gateway that polls this daemon.
 		struct Gateway
 		{
 			Millis askedAt = 0;
@@ -93,30 +93,30 @@
 		};
 
 		GroupNews news;
-		Millis newsAt = 0; ///< Own clock when they came; their age counted from then.
+		Millis newsAt = 0; ///< Local time at which the news arrived; news.ageMs is their age at that time.
 		Roster roster;
 		store::FollowedTables tables;
 		std::map<std::string, Gateway> gateways;
 	};
 
-	/// Takes in what is newer than what is known.
-	void takeNews(GroupKnowledge& _knowledge, const NewsBundle& _bundle, Millis _now);
+	/// Applies those parts of the news that are newer than the state.
+	void applyNews(GroupState& _groupState, const NewsBundle& _bundle, Millis _now);
 
-	/// @returns What is told to one who holds some of it.
-	NewsBundle newsFor(const GroupKnowledge& _knowledge, const HeldVersions& _held, Millis _now);
+	/// @returns The news for a receiver, with the lists that it lacks.
+	NewsBundle newsFor(const GroupState& _groupState, const HeldVersions& _held, Millis _now);
 
-	/// @returns About how long it is on the wire, bytes.
-	std::size_t bytesOf(const Roster& _roster);
-	/// @returns The same of what a table's news bring, apart from saying up to where it is known.
-	std::size_t bytesOf(const store::TableNews& _news);
+	/// @returns The approximate length of a roster on the wire, bytes.
+	std::size_t wireBytes(const Roster& _roster);
+	/// @returns The approximate length of a table's rows and differences on the wire, bytes.
+	std::size_t wireBytes(const store::TableNews& _news);
 
-	/// @returns What is held, to be told to the one who tells news.
-	HeldVersions heldOf(const GroupKnowledge& _knowledge);
+	/// @returns The versions that this daemon has, for the sender of news.
+	HeldVersions heldVersions(const GroupState& _groupState);
 
-	/// Notes that a gateway asked; those that haven't for a while are forgotten.
-	/// @param[in] _name Empty: it looks for a group, and isn't to be counted here.
-	void noteGateway(GroupKnowledge& _knowledge, const std::string& _name, const store::ConfigurationProof& _proof, Millis _now);
+	/// Records a gateway's poll and removes gateways that haven't polled recently.
+	/// @param[in] _name Empty: the gateway is searching for a group and isn't counted.
+	void recordGateway(GroupState& _groupState, const std::string& _name, const store::ConfigurationProof& _proof, Millis _now);
 
-	/// @returns The gateways that asked this daemon lately.
-	GatewayTally tallyOf(const GroupKnowledge& _knowledge, Millis _now);
+	/// @returns The gateways that polled this daemon recently.
+	GatewayTally tallyOf(const GroupState& _groupState, Millis _now);
 } // namespace archdyke::group
--- a/src/group/news_rpc.h
+++ b/src/group/news_rpc.h
@@ -1,4 +1,4 @@
-/// News of a group on the wire: src/rank.capnp.
+/// Reads and writes news of a group in the wire format of src/rank.capnp.
 #pragma once
 
 #include "generated/rank.capnp.h"
--- a/src/group/rank_link.cpp
+++ b/src/group/rank_link.cpp
@@ -9,8 +9,8 @@
 {
 	namespace
 	{
-		/// Time until a silent peer with unacknowledged bytes counts as lost, ms.
-		constexpr int kUserTimeoutMs = 1'000;
+		/// Time after which a connection with unacknowledged bytes is closed, ms.
+		constexpr int kTcpUserTimeoutMs = 1'000;
 	} // namespace
 
 	RankLink::RankLink(http::LoopParts _loop, std::string _address)
@@ -33,7 +33,7 @@
 		sockaddr_in target = http::socketAddress(this->daemonAddress);
 		kj::Own<kj::NetworkAddress> destination = this->loop.network.getSockaddr(&target, sizeof(target));
 		kj::Own<kj::AsyncIoStream> stream = co_await this->loop.timer.timeoutAfter(_timeoutMs * kj::MILLISECONDS, destination->connect());
-		stream->setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, &kUserTimeoutMs, sizeof(kUserTimeoutMs));
+		stream->setsockopt(IPPROTO_TCP, TCP_USER_TIMEOUT, &kTcpUserTimeoutMs, sizeof(kTcpUserTimeoutMs));
 		kj::Own<capnp::TwoPartyClient> client = kj::heap<capnp::TwoPartyClient>(*stream);
 		rpc::RankDaemon::Client daemon = client->bootstrap().castAs<rpc::RankDaemon>();
 		this->connection = std::shared_ptr<Connection>(new Connection{kj::mv(stream), kj::mv(client), kj::mv(daemon)});
@@ -41,7 +41,7 @@
 	}
 
 	template <typename T>
-	aio::Task<T> RankLink::within(kj::Promise<T> _answer, std::shared_ptr<Connection> _connection, Millis _timeoutMs)
+	aio::Task<T> RankLink::withTimeout(kj::Promise<T> _answer, std::shared_ptr<Connection> _connection, Millis _timeoutMs)
 	{
 		try
 		{
@@ -70,19 +70,19 @@
 			const rpc::RankDaemon::ObserveResults::Reader reader = _response;
 			return Observation{readCoordination(reader.getNewest()), readReport(reader.getReport()), readTally(reader.getGateways()), readHeld(reader.getHeld())};
 		});
-		co_return co_await this->within(kj::mv(answer), link, _timeoutMs);
+		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 
-	aio::Task<BranchSight> RankLink::relay(BranchQuestion _question, NewsBundle _bundle, Millis _timeoutMs)
+	aio::Task<BranchSnapshot> RankLink::relay(BranchQuery _query, NewsBundle _bundle, Millis _timeoutMs)
 	{
 		const std::shared_ptr<Connection> link = co_await this->connect(_timeoutMs);
 		auto request = link->daemon.relayRequest();
-		writeBranchQuestion(request, _question);
+		writeBranchQuery(request, _query);
 		writeBundle(request.initBundle(), _bundle);
-		kj::Promise<BranchSight> answer = request.send().then([engines = std::move(_question.engines)](capnp::Response<rpc::RankDaemon::RelayResults>&& _response) {
-			return readBranchSight(_response, engines);
+		kj::Promise<BranchSnapshot> answer = request.send().then([engines = std::move(_query.engines)](capnp::Response<rpc::RankDaemon::RelayResults>&& _response) {
+			return readBranchSnapshot(_response, engines);
 		});
-		co_return co_await this->within(kj::mv(answer), link, _timeoutMs);
+		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 
 	aio::Task<OrderOutcome> RankLink::order(Coordination _coordination, EngineOrder _order, MapDifference _difference, Millis _timeoutMs)
@@ -100,7 +100,7 @@
 			}
 			return outcome;
 		});
-		co_return co_await this->within(kj::mv(answer), link, _timeoutMs);
+		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 
 	aio::Task<BranchOutcome> RankLink::relayOrders(BranchOrder _order, Millis _timeoutMs)
@@ -111,32 +111,32 @@
 		kj::Promise<BranchOutcome> answer = request.send().then([engines = std::move(_order.engines)](capnp::Response<rpc::RankDaemon::RelayOrdersResults>&& _response) {
 			return readBranchOutcome(_response, engines);
 		});
-		co_return co_await this->within(kj::mv(answer), link, _timeoutMs);
+		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 
-	aio::Task<NewsAnswer> RankLink::news(NewsQuestion _question, Millis _timeoutMs)
+	aio::Task<NewsAnswer> RankLink::news(NewsQuestion _query, Millis _timeoutMs)
 	{
 		const std::shared_ptr<Connection> link = co_await this->connect(_timeoutMs);
 		auto request = link->daemon.newsRequest();
-		request.setName(_question.gateway);
-		writeHeld(request.initHeld(), _question.held);
-		writeProof(request.initProof(), _question.proof);
+		request.setName(_query.gateway);
+		writeHeld(request.initHeld(), _query.held);
+		writeProof(request.initProof(), _query.proof);
 		kj::Promise<NewsAnswer> answer = request.send().then([](capnp::Response<rpc::RankDaemon::NewsResults>&& _response) {
 			const rpc::RankDaemon::NewsResults::Reader reader = _response;
 			return NewsAnswer{readCoordination(reader.getNewest()), readBundle(reader.getBundle())};
 		});
-		co_return co_await this->within(kj::mv(answer), link, _timeoutMs);
+		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 
-	aio::Task<JoinAnswer> RankLink::join(std::string _engine, std::string _group, Millis _timeoutMs)
+	aio::Task<JoinResponse> RankLink::join(std::string _engine, std::string _group, Millis _timeoutMs)
 	{
 		const std::shared_ptr<Connection> link = co_await this->connect(_timeoutMs);
 		auto request = link->daemon.joinRequest();
 		writeEndpoint(request.initEngine(), _engine);
 		request.setGroup(_group);
-		kj::Promise<JoinAnswer> answer = request.send().then([](capnp::Response<rpc::RankDaemon::JoinResults>&& _response) {
-			return JoinAnswer{readCoordination(_response.getNewest()), _response.getCoordinates(), Millis(_response.getHeardMsAgo())};
+		kj::Promise<JoinResponse> answer = request.send().then([](capnp::Response<rpc::RankDaemon::JoinResults>&& _response) {
+			return JoinResponse{readCoordination(_response.getNewest()), _response.getCoordinates(), Millis(_response.getHeardMsAgo())};
 		});
-		co_return co_await this->within(kj::mv(answer), link, _timeoutMs);
+		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 } // namespace archdyke::group
--- a/src/group/rank_link.h
+++ b/src/group/rank_link.h
@@ -1,5 +1,5 @@
-/// A connection to the daemon beside one engine rank. Connects when first used, and again
-/// after a failure.
+/// A client of the daemon beside one engine rank. Connects on first use, and reconnects after a
+/// failure.
 #pragma once
 
 #include <capnp/rpc-twoparty.h>
@@ -8,44 +8,44 @@
 
 namespace archdyke::group
 {
-	/// What a rank's daemon answers to one that looks at it.
+	/// A daemon's response to a poll.
 	struct Observation
 	{
 		Coordination newest;
 		RankReport report;
-		GatewayTally gateways; ///< That ask this daemon.
+		GatewayTally gateways; ///< Gateways that poll this daemon.
 		HeldVersions held;
 
 		bool operator==(const Observation&) const = default;
 	};
 
-	/// What a gateway asks a daemon.
+	/// A gateway's request for news.
 	struct NewsQuestion
 	{
 		std::string gateway; ///< Its name.
 		HeldVersions held;
-		store::ConfigurationProof proof; ///< The latest that it has.
+		store::ConfigurationProof proof; ///< The gateway's latest proof.
 
 		bool operator==(const NewsQuestion&) const = default;
 	};
 
-	/// What a daemon tells a gateway.
+	/// A daemon's response to a gateway's request for news.
 	struct NewsAnswer
 	{
-		Coordination newest; ///< Names the group also while no coordinator was heard.
+		Coordination newest; ///< Names the group even if no coordinator was heard.
 		NewsBundle bundle;
 
 		bool operator==(const NewsAnswer&) const = default;
 	};
 
-	/// What a daemon says of the coordinator when another one asks.
-	struct JoinAnswer
+	/// A daemon's response to a join request: what it knows of the coordinator.
+	struct JoinResponse
 	{
 		Coordination newest;
-		bool coordinates = false; ///< It is the coordinator of the group, and reaches the store.
-		Millis heardMsAgo = 0;    ///< Since it heard a coordinator that reaches the store.
+		bool coordinates = false; ///< The daemon is the coordinator of the group and reaches the store.
+		Millis heardMsAgo = 0;    ///< Time since the daemon heard a coordinator that reaches the store.
 
-		bool operator==(const JoinAnswer&) const = default;
+		bool operator==(const JoinResponse&) const = default;
 	};
 
 	class RankLink
@@ -54,14 +54,14 @@
 		/// @param[in] _address "IP:port" of the daemon.
 		RankLink(http::LoopParts _loop, std::string _address);
 
-		/// All throw kj::Exception when there is no answer in time.
-		/// @param[in] _sample The last sample of counts that is held, 0 for none.
+		/// All of these throw kj::Exception if there is no response in time.
+		/// @param[in] _sample The last sample of counts that the caller has, 0 for none.
 		aio::Task<Observation> observe(Coordination _coordination, bool _counts, std::uint64_t _sample, NewsBundle _bundle, Millis _timeoutMs);
-		aio::Task<BranchSight> relay(BranchQuestion _question, NewsBundle _bundle, Millis _timeoutMs);
+		aio::Task<BranchSnapshot> relay(BranchQuery _query, NewsBundle _bundle, Millis _timeoutMs);
 		aio::Task<OrderOutcome> order(Coordination _coordination, EngineOrder _order, MapDifference _difference, Millis _timeoutMs);
 		aio::Task<BranchOutcome> relayOrders(BranchOrder _order, Millis _timeoutMs);
-		aio::Task<NewsAnswer> news(NewsQuestion _question, Millis _timeoutMs);
-		aio::Task<JoinAnswer> join(std::string _engine, std::string _group, Millis _timeoutMs);
+		aio::Task<NewsAnswer> news(NewsQuestion _query, Millis _timeoutMs);
+		aio::Task<JoinResponse> join(std::string _engine, std::string _group, Millis _timeoutMs);
 
 		const std::string& address() const;
 
@@ -73,12 +73,12 @@
 			rpc::RankDaemon::Client daemon;
 		};
 
-		/// @returns The connection, made when there is none.
+		/// @returns The current connection, or a new one.
 		aio::Task<std::shared_ptr<Connection>> connect(Millis _timeoutMs);
 
-		/// Waits for an answer; a connection that doesn't bring one is given up.
+		/// Waits for a response and drops the connection if none arrives in time.
 		template <typename T>
-		aio::Task<T> within(kj::Promise<T> _answer, std::shared_ptr<Connection> _connection, Millis _timeoutMs);
+		aio::Task<T> withTimeout(kj::Promise<T> _answer, std::shared_ptr<Connection> _connection, Millis _timeoutMs);
 
 		http::LoopParts loop;
 		std::string daemonAddress;
--- a/src/group/rank_rpc.cpp
+++ b/src/group/rank_rpc.cpp
@@ -12,11 +12,11 @@
 {
 	namespace
 	{
-		/// Bits of the counts of a sample on the wire. Shares of choices are what counts, and the
-		/// hottest expert draws at most some 20 times the mean.
+		/// Bits of a count on the wire. Only shares of choices matter, and the hottest expert is chosen at
+		/// most about 20 times as often as the mean.
 		constexpr unsigned kChoiceBits = 8;
 
-		/// @returns By how many bits the numbers are shifted so that each fits.
+		/// @returns The number of bits by which the numbers must be shifted right to fit.
 		unsigned shiftFor(const std::vector<std::uint32_t>& _numbers)
 		{
 			const auto most = std::max_element(_numbers.begin(), _numbers.end());
@@ -51,7 +51,7 @@
 			return numbers;
 		}
 
-		/// Bits of a change of a map on the wire, beside the one for arriving.
+		/// Bits of a map change on the wire, in addition to the bit that tells arrivals from removals.
 		constexpr unsigned kSetBits = 8;
 		constexpr unsigned kRankBits = 11;
 		constexpr unsigned kExpertBits = 12;
@@ -97,12 +97,12 @@
 		}
 	} // namespace
 
-	std::uint64_t orNone(const std::optional<std::uint64_t>& _value)
+	std::uint64_t encodeOptional(const std::optional<std::uint64_t>& _value)
 	{
 		return _value.value_or(0);
 	}
 
-	std::optional<std::uint64_t> fromNone(std::uint64_t _value)
+	std::optional<std::uint64_t> decodeOptional(std::uint64_t _value)
 	{
 		return 0 == _value ? std::nullopt : std::optional(_value);
 	}
@@ -149,7 +149,7 @@
 		engine.queued = _reader.getQueued();
 		engine.active = _reader.getActive();
 		engine.pace = _reader.getPace();
-		engine.view = {true, _reader.getEpoch(), _reader.getOpen(), _reader.getStep(), _reader.getMap(), fromNone(_reader.getPrepared()), fromNone(_reader.getArmed()), fromNone(_reader.getHeld())};
+		engine.view = {true, _reader.getEpoch(), _reader.getOpen(), _reader.getStep(), _reader.getMap(), decodeOptional(_reader.getPrepared()), decodeOptional(_reader.getArmed()), decodeOptional(_reader.getHeld())};
 		report.choices = {_reader.getCountsEpoch(), _reader.getCountsSample(), _reader.getCountsSince(), readChoices(_reader)};
 		return report;
 	}
@@ -167,9 +167,9 @@
 		_builder.setOpen(engine.view.open);
 		_builder.setStep(engine.view.step);
 		_builder.setMap(engine.view.map);
-		_builder.setPrepared(orNone(engine.view.prepared));
-		_builder.setArmed(orNone(engine.view.armed));
-		_builder.setHeld(orNone(engine.view.held));
+		_builder.setPrepared(encodeOptional(engine.view.prepared));
+		_builder.setArmed(encodeOptional(engine.view.armed));
+		_builder.setHeld(encodeOptional(engine.view.held));
 		_builder.setCountsEpoch(_report.choices.epoch);
 		_builder.setCountsSample(_report.choices.sample);
 		_builder.setCountsSince(_report.choices.since);
@@ -234,7 +234,7 @@
 		{
 			if (change.set >= _base.size() || change.rank >= _base[change.set].size())
 			{
-				throw InvalidInputError("map difference", {{"change", "a set or rank that the map doesn't have", "run daemons of one version"}});
+				throw InvalidInputError("map difference", {{"change", "a set or rank that the base map doesn't have", "run daemons of one version"}});
 			}
 			std::vector<std::uint32_t>& experts = _base[change.set][change.rank];
 			std::erase(experts, change.expert);
--- a/src/group/rank_rpc.h
+++ b/src/group/rank_rpc.h
@@ -1,4 +1,4 @@
-/// archdyke's types and those of the RPC between the daemons of a group.
+/// Converts between archdyke's types and those of the RPC between the daemons of a group.
 #pragma once
 
 #include "generated/rank.capnp.h"
@@ -7,28 +7,28 @@
 
 namespace archdyke::group
 {
-	/// Choices of experts between two samples of one engine.
+	/// Expert choices between two samples of one engine.
 	struct ChoiceSample
 	{
 		std::uint64_t epoch = 0;
-		std::uint64_t sample = 0;           ///< Its number; 0: no counts.
-		std::uint64_t since = 0;            ///< The sample from which the choices count; 0: a first one.
-		std::vector<std::uint32_t> choices; ///< Set by set; empty for a first one.
+		std::uint64_t sample = 0;           ///< Number of the sample; 0: no counts.
+		std::uint64_t since = 0;            ///< Number of the previous sample; 0: this is the first one.
+		std::vector<std::uint32_t> choices; ///< Choices since then, set by set; empty for a first sample.
 
 		bool operator==(const ChoiceSample&) const = default;
 	};
 
-	/// What the sidecar of a rank tells the coordinator.
+	/// Report of a rank's sidecar to the coordinator.
 	struct RankReport
 	{
 		std::string service;
 		EngineReport engine;
-		ChoiceSample choices; ///< Sample 0 when they weren't asked for.
+		ChoiceSample choices; ///< Sample 0 if counts weren't requested.
 
 		bool operator==(const RankReport&) const = default;
 	};
 
-	/// An expert that comes to a rank, or goes from it.
+	/// Adds an expert to a rank or removes it.
 	struct MapChange
 	{
 		std::uint32_t set = 0;
@@ -39,28 +39,28 @@
 		bool operator==(const MapChange&) const = default;
 	};
 
-	/// A map by its differences from another one.
+	/// A map, given as its difference from a base map.
 	struct MapDifference
 	{
-		std::uint64_t base = 0; ///< Version; 0: the experts dealt to the ranks in turn.
+		std::uint64_t base = 0; ///< Version of the base map; 0: the round-robin map.
 		std::uint32_t sets = 0;
-		std::uint32_t experts = 0; ///< Of a set.
+		std::uint32_t experts = 0; ///< Per set.
 		std::uint32_t ranks = 0;
 		std::vector<MapChange> changes;
 
 		bool operator==(const MapDifference&) const = default;
 	};
 
-	/// @returns What makes _map of _base; both have the same sets and ranks.
+	/// @returns The difference that turns _base into _map; both have the same sets and ranks.
 	MapDifference differenceOf(std::uint64_t _baseVersion, const RankExperts& _base, const RankExperts& _map, std::uint32_t _experts);
 
-	/// @returns The map that the difference makes of its base.
-	/// @throws InvalidInputError When it doesn't fit the base.
+	/// @returns The base map with the difference applied.
+	/// @throws InvalidInputError When the difference doesn't fit the base.
 	RankExperts applyDifference(RankExperts _base, const MapDifference& _difference);
 
-	/// Versions and steps count from 1 on the wire: 0 is none.
-	std::uint64_t orNone(const std::optional<std::uint64_t>& _value);
-	std::optional<std::uint64_t> fromNone(std::uint64_t _value);
+	/// Versions and steps start at 1, so on the wire 0 stands for none.
+	std::uint64_t encodeOptional(const std::optional<std::uint64_t>& _value);
+	std::optional<std::uint64_t> decodeOptional(std::uint64_t _value);
 
 	Coordination readCoordination(rpc::Coordination::Reader _reader);
 	void writeCoordination(rpc::Coordination::Builder _builder, const Coordination& _coordination);
--- a/src/group/rank_server.cpp
+++ b/src/group/rank_server.cpp
@@ -8,13 +8,13 @@
 {
 	namespace
 	{
-		/// Maps that a sidecar remembers: the one in force and some that were abandoned since.
-		constexpr std::size_t kMapsKept = 4;
-		/// Told by a daemon that never heard a coordinator, ms.
-		constexpr std::uint32_t kNeverMs = 3'600'000;
+		/// Maximum number of maps that a sidecar keeps: the one in force and some that were abandoned since.
+		constexpr std::size_t kMaxCachedMaps = 4;
+		/// Reported by a daemon that has never heard a coordinator, ms.
+		constexpr std::uint32_t kNeverHeardMs = 3'600'000;
 	} // namespace
 
-	void takeReport(SidecarState& _state, EngineReport _report)
+	void recordEngineReport(SidecarState& _state, EngineReport _report)
 	{
 		if (_state.newest.group != _report.group)
 		{
@@ -22,9 +22,9 @@
 			_state.newest = {};
 			_state.newest.group = _report.group;
 			_state.heardAt = nowMs();
-			// The store's tables are those of all groups.
-			_state.knowledge.news = {};
-			_state.knowledge.roster = {};
+			// The store's tables stay: they are the same for all groups.
+			_state.groupState.news = {};
+			_state.groupState.roster = {};
 		}
 		_state.lastReport = std::move(_report);
 	}
@@ -39,23 +39,23 @@
 
 	kj::Promise<void> RankServer::observe(ObserveContext _context)
 	{
-		this->hearCoordinator(readCoordination(_context.getParams().getCoordination()));
-		return this->answerObserve(_context).take();
+		this->recordCoordinator(readCoordination(_context.getParams().getCoordination()));
+		return this->handleObserve(_context).take();
 	}
 
 	kj::Promise<void> RankServer::order(OrderContext _context)
 	{
-		return this->answerOrder(_context).take();
+		return this->handleOrder(_context).take();
 	}
 
 	kj::Promise<void> RankServer::relay(RelayContext _context)
 	{
-		return this->answerRelay(_context).take();
+		return this->handleRelay(_context).take();
 	}
 
 	kj::Promise<void> RankServer::relayOrders(RelayOrdersContext _context)
 	{
-		return this->answerRelayOrders(_context).take();
+		return this->handleRelayOrders(_context).take();
 	}
 
 	kj::Promise<void> RankServer::news(NewsContext _context)
@@ -63,10 +63,10 @@
 		const auto params = _context.getParams();
 		const std::string gateway = params.getName().cStr();
 		const Millis now = nowMs();
-		noteGateway(this->state.knowledge, gateway, readProof(params.getProof()), now);
+		recordGateway(this->state.groupState, gateway, readProof(params.getProof()), now);
 		auto results = _context.getResults();
-		writeCoordination(results.initNewest(), this->state.newest); // the group's name also while nobody was heard
-		writeBundle(results.initBundle(), this->fanOut.newsWithin(readHeld(params.getHeld())));
+		writeCoordination(results.initNewest(), this->state.newest); // names the group even if no coordinator was heard
+		writeBundle(results.initBundle(), this->fanOut.newsWithinBudget(readHeld(params.getHeld())));
 		return kj::READY_NOW;
 	}
 
@@ -77,17 +77,17 @@
 		const Coordination newest = coordinates ? this->state.coordinator->coordination() : this->state.newest;
 		if (coordinates)
 		{
-			this->state.coordinator->invite(readEndpoint(params.getEngine()));
+			this->state.coordinator->addCandidate(readEndpoint(params.getEngine()));
 		}
 		auto results = _context.getResults();
 		writeCoordination(results.initNewest(), newest);
 		results.setCoordinates(coordinates && !newest.storeLost);
 		const bool heard = params.getGroup() == newest.group.c_str() && 0 != newest.term;
-		results.setHeardMsAgo(heard ? std::uint32_t(nowMs() - this->state.heardAt) : kNeverMs);
+		results.setHeardMsAgo(heard ? std::uint32_t(nowMs() - this->state.heardAt) : kNeverHeardMs);
 		return kj::READY_NOW;
 	}
 
-	void RankServer::hearCoordinator(const Coordination& _coordination)
+	void RankServer::recordCoordinator(const Coordination& _coordination)
 	{
 		if (_coordination.group != this->state.newest.group || _coordination.term < this->state.newest.term)
 		{
@@ -97,68 +97,69 @@
 		{
 			logInfo("coordinator_heard", {{"group", _coordination.group}, {"term", _coordination.term}, {"address", _coordination.address}, {"before", this->state.newest.term}});
 		}
-		// One that can't reach the store is followed, but another may take over.
+		// A coordinator that can't reach the store is followed, but another daemon may take over.
 		this->state.heardAt = _coordination.storeLost ? this->state.heardAt : nowMs();
 		this->state.newest = _coordination;
 	}
 
-	bool RankServer::follows(const Coordination& _coordination) const
+	bool RankServer::isCurrentCoordinator(const Coordination& _coordination) const
 	{
 		return _coordination.group == this->state.newest.group && _coordination.term == this->state.newest.term;
 	}
 
-	void RankServer::hearNews(const NewsBundle& _bundle)
+	void RankServer::applyGroupNews(const NewsBundle& _bundle)
 	{
 		if (_bundle.news.coordination.group == this->state.newest.group)
 		{
-			takeNews(this->state.knowledge, _bundle, nowMs());
+			applyNews(this->state.groupState, _bundle, nowMs());
 		}
 	}
 
-	aio::Task<void> RankServer::learnGroup(std::string _group)
+	aio::Task<void> RankServer::refreshGroup(std::string _group)
 	{
 		if (this->state.newest.group != _group)
 		{
-			takeReport(this->state, co_await this->engine.report());
+			recordEngineReport(this->state, co_await this->engine.report());
 		}
 	}
 
-	aio::Task<void> RankServer::answerRelay(RelayContext _context)
+	aio::Task<void> RankServer::handleRelay(RelayContext _context)
 	{
-		const BranchQuestion question = readBranchQuestion(_context.getParams());
-		std::string group = question.coordination.group;
-		co_await this->learnGroup(std::move(group)); // a daemon that just started doesn't know its group
-		this->hearCoordinator(question.coordination);
-		BranchSight sight;
-		if (this->follows(question.coordination))
+		const BranchQuery query = readBranchQuery(_context.getParams());
+		std::string group = query.coordination.group;
+		co_await this->refreshGroup(std::move(group)); // a daemon that has just started doesn't know its group
+		this->recordCoordinator(query.coordination);
+		BranchSnapshot snapshot;
+		if (this->isCurrentCoordinator(query.coordination))
 		{
-			this->hearNews(readBundle(_context.getParams().getBundle()));
-			BranchQuestion copy = question;
-			sight = co_await this->fanOut.look(std::move(copy));
+			this->applyGroupNews(readBundle(_context.getParams().getBundle()));
+			BranchQuery copy = query;
+			snapshot = co_await this->fanOut.poll(std::move(copy));
 		}
-		else if (this->state.newest.term <= question.coordination.term)
+		else if (this->state.newest.term <= query.coordination.term)
 		{
-			// An empty answer would leave the ranks unseen with nobody to blame: another daemon is asked.
+			// An empty response would leave the ranks unseen without a failed relay; after an error the
+			// coordinator uses another daemon as the relay.
 			kj::throwFatalException(KJ_EXCEPTION(FAILED, "this daemon's engine is in another group"));
 		}
-		sight.newest = sight.newest.term < this->state.newest.term ? this->state.newest : sight.newest;
-		writeBranchSight(_context.getResults(), sight, question.engines);
+		snapshot.newest = snapshot.newest.term < this->state.newest.term ? this->state.newest : snapshot.newest;
+		writeBranchSnapshot(_context.getResults(), snapshot, query.engines);
 	}
 
-	aio::Task<void> RankServer::answerRelayOrders(RelayOrdersContext _context)
+	aio::Task<void> RankServer::handleRelayOrders(RelayOrdersContext _context)
 	{
 		const BranchOrder order = readBranchOrder(_context.getParams());
-		if (!this->follows(order.coordination))
+		if (!this->isCurrentCoordinator(order.coordination))
 		{
 			logWarning("orders_not_relayed", {{"group", order.coordination.group}, {"own", this->state.newest.group}, {"term", order.coordination.term}, {"newest", this->state.newest.term}});
 			co_return;
 		}
 		BranchOrder copy = order;
-		const BranchOutcome outcome = co_await this->fanOut.give(std::move(copy));
+		const BranchOutcome outcome = co_await this->fanOut.broadcast(std::move(copy));
 		writeBranchOutcome(_context.getResults(), outcome, order.engines);
 	}
 
-	aio::Task<void> RankServer::answerObserve(ObserveContext _context)
+	aio::Task<void> RankServer::handleObserve(ObserveContext _context)
 	{
 		RankReport report;
 		report.service = this->service;
@@ -166,26 +167,26 @@
 		if (_context.getParams().getCounts())
 		{
 			EngineCounts counts = co_await this->engine.counts();
-			report.choices = this->takeSample(std::move(counts), _context.getParams().getSample());
+			report.choices = this->recordSample(std::move(counts), _context.getParams().getSample());
 		}
-		takeReport(this->state, report.engine);
-		// Before its first report the daemon didn't know which group's coordinator to hear.
-		this->hearCoordinator(readCoordination(_context.getParams().getCoordination()));
-		this->hearNews(readBundle(_context.getParams().getBundle()));
+		recordEngineReport(this->state, report.engine);
+		// Only after the first report does the daemon know which group's coordinator to follow.
+		this->recordCoordinator(readCoordination(_context.getParams().getCoordination()));
+		this->applyGroupNews(readBundle(_context.getParams().getBundle()));
 		auto results = _context.getResults();
 		writeCoordination(results.initNewest(), this->state.newest);
 		writeReport(results.initReport(), report);
-		writeTally(results.initGateways(), tallyOf(this->state.knowledge, nowMs()));
-		writeHeld(results.initHeld(), heldOf(this->state.knowledge));
+		writeTally(results.initGateways(), tallyOf(this->state.groupState, nowMs()));
+		writeHeld(results.initHeld(), heldVersions(this->state.groupState));
 	}
 
-	ChoiceSample RankServer::takeSample(EngineCounts _counts, std::uint64_t _held)
+	ChoiceSample RankServer::recordSample(EngineCounts _counts, std::uint64_t _held)
 	{
 		ChoiceSample sample;
 		sample.epoch = _counts.epoch;
 		sample.sample = this->lastSample + 1;
-		const bool follows = 0 != _held && _held == this->lastSample && _counts.epoch == this->lastCounts.epoch;
-		std::optional<std::vector<std::uint32_t>> choices = follows ? choicesBetween(this->lastCounts.counts, _counts.counts) : std::nullopt;
+		const bool continuesLastSample = 0 != _held && _held == this->lastSample && _counts.epoch == this->lastCounts.epoch;
+		std::optional<std::vector<std::uint32_t>> choices = continuesLastSample ? choicesBetween(this->lastCounts.counts, _counts.counts) : std::nullopt;
 		if (choices)
 		{
 			sample.since = _held;
@@ -213,14 +214,14 @@
 		}
 		_order.expertsByRank = applyDifference(std::move(base), _difference);
 		this->maps[_order.version] = _order.expertsByRank;
-		while (kMapsKept < this->maps.size())
+		while (kMaxCachedMaps < this->maps.size())
 		{
 			this->maps.erase(this->maps.begin());
 		}
 		return true;
 	}
 
-	aio::Task<void> RankServer::answerOrder(OrderContext _context)
+	aio::Task<void> RankServer::handleOrder(OrderContext _context)
 	{
 		const std::uint64_t term = _context.getParams().getTerm();
 		const std::string group = _context.getParams().getGroup().cStr();
@@ -254,7 +255,7 @@
 			RankReport report;
 			report.service = this->service;
 			report.engine = co_await this->engine.report();
-			takeReport(this->state, report.engine);
+			recordEngineReport(this->state, report.engine);
 			writeReport(_context.getResults().initReport(), report);
 		}
 		catch (const kj::Exception& error)
--- a/src/group/rank_server.h
+++ b/src/group/rank_server.h
@@ -1,4 +1,4 @@
-/// The daemon's side of the protocol between the daemons of engine ranks: src/rank.capnp.
+/// The daemon's side of the protocol between the daemons of engine ranks (src/rank.capnp).
 #pragma once
 
 #include <map>
@@ -11,22 +11,22 @@
 
 namespace archdyke::group
 {
-	/// State of the sidecar, on its one event loop.
+	/// State of the sidecar, which has a single event loop.
 	struct SidecarState
 	{
-		Coordination newest; ///< Of the engine's group, with the highest term that was heard.
+		Coordination newest; ///< The coordinator of the engine's group with the highest term heard so far.
 		Millis heardAt = 0;  ///< When a coordinator that reaches the store was last heard.
 		std::optional<EngineReport> lastReport;
 		bool engineUp = true;
-		GroupKnowledge knowledge;                 ///< What the coordinator told of the group, for gateways and as a relay.
+		GroupState groupState;                    ///< From the coordinator's news, for gateways and for daemons that this one relays to.
 		std::unique_ptr<Coordinator> coordinator; ///< Null while another process coordinates.
 	};
 
-	/// Takes in what the engine says of itself. What was heard of the group that it was in before
-	/// is forgotten.
-	void takeReport(SidecarState& _state, EngineReport _report);
+	/// Records the engine's report. Discards the news and the coordinator of the previous group if the
+	/// engine has moved to another group.
+	void recordEngineReport(SidecarState& _state, EngineReport _report);
 
-	/// Serves the coordinator of the group, as a relay too, and gateways.
+	/// Serves the coordinator of the group (as a rank and as a relay) and gateways.
 	class RankServer final : public rpc::RankDaemon::Server
 	{
 	public:
@@ -40,32 +40,32 @@
 		kj::Promise<void> join(JoinContext _context) override;
 
 	private:
-		/// Passes over coordinators of groups that the engine isn't in.
-		void hearCoordinator(const Coordination& _coordination);
-		/// Takes in news of the group that the engine is in.
-		void hearNews(const NewsBundle& _bundle);
-		/// @returns Whether it is the coordinator to follow: of the engine's group, and of no old term.
-		bool follows(const Coordination& _coordination) const;
-		/// Asks the engine for its group, when that isn't known to be this one.
-		aio::Task<void> learnGroup(std::string _group);
-		aio::Task<void> answerRelay(RelayContext _context);
-		aio::Task<void> answerRelayOrders(RelayOrdersContext _context);
-		aio::Task<void> answerObserve(ObserveContext _context);
-		/// @param[in] _held Sample that the coordinator has.
-		ChoiceSample takeSample(EngineCounts _counts, std::uint64_t _held);
-		/// Makes the map of a prepare of its difference from one that was given before.
-		/// @returns false when that one isn't known here.
+		/// Records a message of a coordinator; ignores coordinators of other groups and older terms.
+		void recordCoordinator(const Coordination& _coordination);
+		/// Applies news of the engine's group; ignores those of other groups.
+		void applyGroupNews(const NewsBundle& _bundle);
+		/// @returns Whether it is the current coordinator of the engine's group.
+		bool isCurrentCoordinator(const Coordination& _coordination) const;
+		/// Requests a report from the engine if its last known group isn't this one.
+		aio::Task<void> refreshGroup(std::string _group);
+		aio::Task<void> handleRelay(RelayContext _context);
+		aio::Task<void> handleRelayOrders(RelayOrdersContext _context);
+		aio::Task<void> handleObserve(ObserveContext _context);
+		/// @param[in] _held The last sample that the caller has, 0 for none.
+		ChoiceSample recordSample(EngineCounts _counts, std::uint64_t _held);
+		/// Builds the map of a prepare order from its difference to a base map.
+		/// @returns false if the base map isn't known here.
 		bool buildMap(EngineOrder& _order, const MapDifference& _difference);
-		aio::Task<void> answerOrder(OrderContext _context);
-		/// Tells the engine's state with the answer to an order, which saves the coordinator a look.
+		aio::Task<void> handleOrder(OrderContext _context);
+		/// Adds the engine's state to the response to an order, which saves the coordinator a poll.
 		aio::Task<void> reportAfterOrder(OrderContext _context);
 
 		SidecarState& state;
 		Engine& engine;
 		FanOut& fanOut;
 		std::string service;
-		std::uint64_t lastSample = randomId() >> 1; ///< Numbers of another run don't fit.
+		std::uint64_t lastSample = randomId() >> 1; ///< Starts at random, so that samples of another run don't match.
 		EngineCounts lastCounts;
-		std::map<std::uint64_t, RankExperts> maps; ///< By version, the newest.
+		std::map<std::uint64_t, RankExperts> maps; ///< The newest maps, by version.
 	};
 } // namespace archdyke::group
--- a/src/group/sidecar.cpp
+++ b/src/group/sidecar.cpp
@@ -15,22 +15,22 @@
 {
 	namespace
 	{
-		/// A group whose coordinator wasn't heard for this long gets another, ms; later ranks
-		/// wait longer, so that one after the other tries.
-		constexpr Millis kCoordinatorGoneMs = 600;
-		constexpr Millis kWaitPerRankMs = 120;
-		constexpr Millis kMaxWaitForRankMs = 4'000;
-		constexpr Millis kLookMs = 100;
-		/// Time limit of a question whether a coordinator lives, ms: it may be short of processor.
-		constexpr Millis kJoinMs = 400;
-		/// Other ranks' daemons that are asked whether they hear a coordinator.
-		constexpr std::size_t kWitnesses = 2;
-		/// After a try to take over that failed, ms.
-		constexpr Millis kTryAgainMs = 2'000;
-		/// Longest time a stopping sidecar takes, ms: it holds nothing that must end.
-		constexpr Millis kStopMs = 50;
+		/// Time without a message of the coordinator after which another daemon takes over, ms. Higher ranks
+		/// wait longer, so that they don't try all at once.
+		constexpr Millis kCoordinatorTimeoutMs = 600;
+		constexpr Millis kTakeOverDelayPerRankMs = 120;
+		constexpr Millis kMaxTakeOverDelayMs = 4'000;
+		constexpr Millis kCoordinatorCheckIntervalMs = 100;
+		/// Timeout of a join request, ms: the coordinator may be short of CPU.
+		constexpr Millis kJoinTimeoutMs = 400;
+		/// Maximum number of other ranks' daemons that are asked whether they hear a coordinator.
+		constexpr std::size_t kMaxPeersAsked = 2;
+		/// Delay after a failed attempt to take over, ms.
+		constexpr Millis kTakeOverRetryMs = 2'000;
+		/// Delay between the stop signal and the exit, ms: no work has to be completed.
+		constexpr Millis kStopDelayMs = 50;
 
-		/// The row of a group as the store has it.
+		/// The row of a group in the store.
 		struct GroupRow
 		{
 			SwitchIntent intent;
@@ -62,7 +62,7 @@
 			    , loop{_io.provider->getNetwork(), _io.provider->getTimer()}
 			    , tableStore(std::make_unique<store::CountedStore>(_deployment.makeStore(this->loop, this->settings.place.store), this->metrics))
 			    , engine(this->loop, _deployment.codec, this->settings.upstream)
-			    , fanOut(this->loop, this->settings.place.peerPort, this->settings.place.linkMbps, this->state.knowledge)
+			    , fanOut(this->loop, this->settings.place.peerPort, this->settings.place.linkMbps, this->state.groupState)
 			    , server(kj::heap<RankServer>(this->state, this->engine, this->fanOut, this->settings.service))
 			    , address(this->settings.place.ip + ":" + std::to_string(this->settings.place.peerPort))
 			    , admin(this->loop, this->settings.place.metrics, http::serveRequests([this](const http::RequestHead& _head) {
@@ -77,14 +77,14 @@
 					logError("sidecar_failed", {{"reason", _error.getDescription().cStr()}, {"remedy", "restart the process and report this line"}});
 				};
 				this->listening = this->server.listen(*this->receiver).eagerlyEvaluate(fatal);
-				this->candidate = this->stand().take().eagerlyEvaluate(fatal);
+				this->monitoring = this->monitorCoordinator().take().eagerlyEvaluate(fatal);
 			}
 
 			aio::Task<void> run()
 			{
 				co_await stopSignal();
 				logInfo("stop", {{"coordinates", nullptr != this->state.coordinator}});
-				co_await this->loop.timer.afterDelay(kStopMs * kj::MILLISECONDS);
+				co_await this->loop.timer.afterDelay(kStopDelayMs * kj::MILLISECONDS);
 			}
 
 		private:
@@ -100,8 +100,8 @@
 				return answer;
 			}
 
-			/// Asks the own engine for its group and rank.
-			aio::Task<std::optional<EngineReport>> lookAtEngine()
+			/// Requests the report of this daemon's engine, which tells its group and rank.
+			aio::Task<std::optional<EngineReport>> requestEngineReport()
 			{
 				std::string failure;
 				std::optional<EngineReport> report;
@@ -121,65 +121,65 @@
 				co_return report;
 			}
 
-			/// @returns Whether no coordinator was heard for as long as this rank waits for one.
-			bool coordinatorIsGone() const
+			/// @returns Whether no coordinator was heard within this rank's timeout.
+			bool coordinatorTimedOut() const
 			{
 				const Millis rank = this->state.lastReport ? this->state.lastReport->rank : 0;
-				const Millis patience = kCoordinatorGoneMs + std::min(kMaxWaitForRankMs, kWaitPerRankMs * rank);
-				return nowMs() - this->state.heardAt >= patience;
+				const Millis timeoutMs = kCoordinatorTimeoutMs + std::min(kMaxTakeOverDelayMs, kTakeOverDelayPerRankMs * rank);
+				return nowMs() - this->state.heardAt >= timeoutMs;
 			}
 
-			/// Takes over the group when nobody coordinates it.
-			aio::Task<void> stand()
+			/// Takes over the group when it has no coordinator.
+			aio::Task<void> monitorCoordinator()
 			{
 				while (true)
 				{
-					co_await this->loop.timer.afterDelay(kLookMs * kj::MILLISECONDS);
-					if (!this->coordinatorIsGone())
+					co_await this->loop.timer.afterDelay(kCoordinatorCheckIntervalMs * kj::MILLISECONDS);
+					if (!this->coordinatorTimedOut())
 					{
 						continue;
 					}
 					if (!this->state.lastReport)
 					{
-						// Its rank tells how long to wait.
-						std::optional<EngineReport> first = co_await this->lookAtEngine();
+						// The rank determines how long to wait for a coordinator.
+						std::optional<EngineReport> first = co_await this->requestEngineReport();
 						if (first)
 						{
-							takeReport(this->state, std::move(*first));
+							recordEngineReport(this->state, std::move(*first));
 						}
 						continue;
 					}
-					const std::optional<EngineReport> report = co_await this->lookAtEngine();
+					const std::optional<EngineReport> report = co_await this->requestEngineReport();
 					if (!report || report->group.empty())
 					{
 						this->state.heardAt = nowMs();
 						continue;
 					}
-					takeReport(this->state, *report);
-					if (!this->coordinatorIsGone())
+					recordEngineReport(this->state, *report);
+					if (!this->coordinatorTimedOut())
 					{
-						continue; // it was heard while the engine was asked
+						continue; // a coordinator was heard while the engine was asked
 					}
-					const bool lives = co_await this->coordinatorLives();
-					if (lives)
+					const bool alive = co_await this->coordinatorIsAlive();
+					if (alive)
 					{
-						continue; // it is slow, or hasn't found this rank yet
+						continue; // the coordinator is slow or hasn't found this rank yet
 					}
 					std::string group = report->group;
 					co_await this->takeOver(std::move(group));
 				}
 			}
 
-			/// Asks a daemon of the group what it heard, and to look at this rank.
-			aio::Task<std::optional<JoinAnswer>> askToJoin(std::string _daemon)
+			/// Asks a daemon of the group what it knows of the coordinator; a coordinator also adds this rank.
+			aio::Task<std::optional<JoinResponse>> requestJoin(std::string _daemon)
 			{
-				std::optional<JoinAnswer> answer;
+				std::optional<JoinResponse> answer;
 				std::string engine = this->settings.upstream;
 				std::string group = this->state.newest.group;
 				try
 				{
 					RankLink link(this->loop, std::move(_daemon));
-					answer = co_await link.join(std::move(engine), std::move(group), kJoinMs);
+					answer = co_await link.join(std::move(engine), std::move(group), kJoinTimeoutMs);
 				}
 				catch (const kj::Exception& error)
 				{
@@ -188,17 +188,16 @@
 				co_return answer;
 			}
 
-			/// Asks the coordinator itself: one that is slow isn't dead, and one that has just begun
-			/// may not know this rank.
-			/// @returns Whether it coordinates and reaches the store.
-			aio::Task<bool> coordinatorAnswers()
+			/// Asks the coordinator itself: it may be slow, or new and not know this rank yet.
+			/// @returns Whether it still coordinates and reaches the store.
+			aio::Task<bool> probeCoordinator()
 			{
 				std::string daemon = this->state.newest.address;
 				if (daemon.empty() || daemon == this->address)
 				{
 					co_return false;
 				}
-				const std::optional<JoinAnswer> answer = co_await this->askToJoin(std::move(daemon));
+				const std::optional<JoinResponse> answer = co_await this->requestJoin(std::move(daemon));
 				const bool coordinates = answer && answer->coordinates && answer->newest.group == this->state.newest.group && answer->newest.term >= this->state.newest.term;
 				if (coordinates)
 				{
@@ -208,22 +207,23 @@
 				co_return coordinates;
 			}
 
-			/// Asks some other ranks' daemons: a link of this VM that is cut or full is no reason to
-			/// take over a group whose others are led.
-			aio::Task<bool> othersHearIt()
+			/// Asks some other ranks' daemons: if only this VM's link is cut or saturated, the coordinator must
+			/// not be replaced.
+			/// @returns Whether one of them heard the coordinator recently.
+			aio::Task<bool> peersHearCoordinator()
 			{
-				const std::vector<std::string> engines = this->state.knowledge.roster.engines;
-				for (std::size_t asked = 0; asked < kWitnesses && !engines.empty(); ++asked)
+				const std::vector<std::string> engines = this->state.groupState.roster.engines;
+				for (std::size_t asked = 0; asked < kMaxPeersAsked && !engines.empty(); ++asked)
 				{
-					std::uint64_t drawn = randomId() % engines.size();
-					const std::string& engine = engines[drawn];
+					std::uint64_t randomIndex = randomId() % engines.size();
+					const std::string& engine = engines[randomIndex];
 					if (engine.empty() || engine == this->settings.upstream)
 					{
 						continue;
 					}
 					std::string daemon = daemonAddress(engine, this->settings.place.peerPort);
-					const std::optional<JoinAnswer> answer = co_await this->askToJoin(std::move(daemon));
-					if (answer && answer->heardMsAgo <= kCoordinatorGoneMs && answer->newest.term >= this->state.newest.term)
+					const std::optional<JoinResponse> answer = co_await this->requestJoin(std::move(daemon));
+					if (answer && answer->heardMsAgo <= kCoordinatorTimeoutMs && answer->newest.term >= this->state.newest.term)
 					{
 						this->state.heardAt = nowMs() - answer->heardMsAgo;
 						co_return true;
@@ -232,15 +232,15 @@
 				co_return false;
 			}
 
-			/// Confirms by others that nobody coordinates.
-			aio::Task<bool> coordinatorLives()
+			/// @returns Whether the coordinator responds or another daemon still hears it.
+			aio::Task<bool> coordinatorIsAlive()
 			{
-				const bool answers = co_await this->coordinatorAnswers();
+				const bool answers = co_await this->probeCoordinator();
 				if (answers)
 				{
 					co_return true;
 				}
-				const bool heard = co_await this->othersHearIt();
+				const bool heard = co_await this->peersHearCoordinator();
 				co_return heard;
 			}
 
@@ -257,17 +257,17 @@
 					version = found.version;
 					if (found.intent.term > this->state.newest.term)
 					{
-						// Another one has taken over; whether it lives, it says itself.
+						// Another daemon has taken over; asks it whether it is alive.
 						this->state.newest = {_group, found.intent.term, found.intent.coordinator, false};
-						const bool lives = co_await this->coordinatorAnswers();
-						if (lives)
+						const bool alive = co_await this->probeCoordinator();
+						if (alive)
 						{
 							co_return;
 						}
 					}
-					if (!this->coordinatorIsGone())
+					if (!this->coordinatorTimedOut())
 					{
-						co_return; // it was heard while the row was read
+						co_return; // a coordinator was heard while the row was read
 					}
 					row = archdyke::takeOver(found.intent, this->address);
 					store::ConditionalWrite write{key, encodeIntent(*row), version};
@@ -286,7 +286,7 @@
 				logInfo("take_over", {{"group", _group}, {"term", row ? row->term : 0}, {"failure", failure.empty() ? "-" : failure}, {"silent_ms", nowMs() - this->state.heardAt}, {"storeless_coordinator", this->state.newest.storeLost}});
 				if (!failure.empty())
 				{
-					this->state.heardAt = nowMs() - kCoordinatorGoneMs + kTryAgainMs;
+					this->state.heardAt = nowMs() - kCoordinatorTimeoutMs + kTakeOverRetryMs;
 					co_return;
 				}
 				this->state.newest = {_group, row->term, this->address, false};
@@ -296,8 +296,8 @@
 
 			aio::Task<void> coordinate(std::string _group, SwitchIntent _row, std::uint64_t _version)
 			{
-				CoordinatorParts parts{this->loop, *this->tableStore, this->deployment.tables, this->deployment.codec, this->deployment.decoders.catalog, this->deployment.decoders.upstream, this->settings, this->state.knowledge, this->fanOut, this->metrics};
-				this->state.coordinator = std::make_unique<Coordinator>(std::move(parts), _group, std::move(_row), _version);
+				CoordinatorDependencies dependencies{this->loop, *this->tableStore, this->deployment.tables, this->deployment.codec, this->deployment.decoders.catalog, this->deployment.decoders.upstream, this->settings, this->state.groupState, this->fanOut, this->metrics};
+				this->state.coordinator = std::make_unique<Coordinator>(std::move(dependencies), _group, std::move(_row), _version);
 				const CoordinatorEnd end = co_await this->state.coordinator->run();
 				logInfo("coordinator_ended", {{"group", _group}, {"why", toString(end)}});
 				this->state.coordinator = nullptr;
@@ -319,14 +319,14 @@
 			http::Listener admin;
 			kj::Own<kj::ConnectionReceiver> receiver;
 			kj::Promise<void> listening = nullptr;
-			kj::Promise<void> candidate = nullptr;
+			kj::Promise<void> monitoring = nullptr;
 		};
 	} // namespace
 
 	int runSidecar(const SidecarDeployment& _deployment, int _argc, char** _argv)
 	{
 		return gateway::guardMain("archdyke-sidecar", [&] {
-			const std::optional<std::string> path = gateway::settingsPath("archdyke-sidecar", "Stands beside one engine rank and coordinates its group when nobody else does.", _argc, _argv);
+			const std::optional<std::string> path = gateway::settingsPath("archdyke-sidecar", "Runs beside one engine rank and coordinates its group when no other daemon does.", _argc, _argv);
 			if (!path)
 			{
 				return;
--- a/src/group/sidecar.h
+++ b/src/group/sidecar.h
@@ -1,5 +1,5 @@
-/// The daemon beside one engine rank: tells its state, carries orders out, and coordinates its
-/// group when nobody else does.
+/// The daemon beside one engine rank: reports the rank's state, passes orders to the engine, and
+/// coordinates the group when no other daemon does.
 #pragma once
 
 #include "gateway/gateway_process.h"
@@ -7,7 +7,7 @@
 
 namespace archdyke::group
 {
-	/// What an adapter brings for one kind of deployment.
+	/// What an adapter provides for one kind of deployment.
 	struct SidecarDeployment
 	{
 		EngineCodec codec;
--- a/tests/group_rig.h
+++ b/tests/group_rig.h
@@ -185,12 +185,12 @@
 		}
 
 		/// A caller's request through a gateway.
-		/// @param[in] _patienceMs What the caller has left.
+		/// @param[in] _maxWaitMs What the caller has left.
 		/// @returns Status; the body names the group that ran it.
-		RigAnswer call(const std::string& _gateway, const std::string& _request, Millis _patienceMs = 1'500) const
+		RigAnswer call(const std::string& _gateway, const std::string& _request, Millis _maxWaitMs = 1'500) const
 		{
 			httplib::Client client = clientOf(this->gatewayCallers.at(_gateway));
-			const httplib::Result result = client.Get("/safe/x", GatewayRig::headersFor(_request, _patienceMs));
+			const httplib::Result result = client.Get("/safe/x", GatewayRig::headersFor(_request, _maxWaitMs));
 			return result ? RigAnswer{result->status, result->body, result->headers} : RigAnswer();
 		}
 
--- a/tests/test_group_news.cpp
+++ b/tests/test_group_news.cpp
@@ -31,12 +31,12 @@
 	}
 
 	/// A daemon that knows a list of some hundred upstreams.
-	GroupKnowledge knowing(std::size_t _upstreams)
+	GroupState groupStateWithUpstreams(std::size_t _upstreams)
 	{
-		GroupKnowledge knowledge;
-		knowledge.news = news(1, 5);
-		knowledge.roster = {1, 1, {"10.0.0.1:80", "", "10.0.0.3:80"}};
-		store::FollowedTable& upstreams = knowledge.tables.upstreams;
+		GroupState groupState;
+		groupState.news = news(1, 5);
+		groupState.roster = {1, 1, {"10.0.0.1:80", "", "10.0.0.3:80"}};
+		store::FollowedTable& upstreams = groupState.tables.upstreams;
 		upstreams.storeTime = 100;
 		for (std::size_t index = 0; index < _upstreams; ++index)
 		{
@@ -45,7 +45,7 @@
 			upstreams.rows[key] = row(key, upstreams.version);
 		}
 		upstreams.wholeAt = 1;
-		return knowledge;
+		return groupState;
 	}
 
 	EngineReport report(std::uint32_t _rank, std::uint64_t _step, std::uint64_t _map)
@@ -57,22 +57,22 @@
 
 Test(groupnews, the_newest_term_and_number_win)
 {
-	GroupKnowledge knowledge;
-	takeNews(knowledge, {news(2, 1), {}, {}}, 100);
-	takeNews(knowledge, {news(1, 9), {}, {}}, 200);
-	cr_assert(2 == knowledge.news.coordination.term && 100 == knowledge.newsAt);
-	takeNews(knowledge, {news(2, 2), {}, {}}, 300);
-	cr_assert(2 == knowledge.news.number && 350 - 300 == newsFor(knowledge, {}, 350).news.ageMs);
+	GroupState groupState;
+	applyNews(groupState, {news(2, 1), {}, {}}, 100);
+	applyNews(groupState, {news(1, 9), {}, {}}, 200);
+	cr_assert(2 == groupState.news.coordination.term && 100 == groupState.newsAt);
+	applyNews(groupState, {news(2, 2), {}, {}}, 300);
+	cr_assert(2 == groupState.news.number && 350 - 300 == newsFor(groupState, {}, 350).news.ageMs);
 }
 
 Test(groupnews, gateways_are_counted_while_they_ask_and_the_newest_proof_is_told)
 {
-	GroupKnowledge knowledge;
-	noteGateway(knowledge, "b", {10, 3}, 1'000);
-	noteGateway(knowledge, "a", {40, 3}, 1'200);
-	const GatewayTally tally = tallyOf(knowledge, 1'300);
+	GroupState groupState;
+	recordGateway(groupState, "b", {10, 3}, 1'000);
+	recordGateway(groupState, "a", {40, 3}, 1'200);
+	const GatewayTally tally = tallyOf(groupState, 1'300);
 	cr_assert(2 == tally.count && 40 == tally.proof.storeTime);
-	cr_assert(1 == tallyOf(knowledge, 3'100).count);
+	cr_assert(1 == tallyOf(groupState, 3'100).count);
 	const GatewayTally both = merged(tally, {1, {41, 4}});
 	cr_assert(3 == both.count && 4 == both.proof.changedAt);
 	cr_assert(40 == merged(tally, {0, {}}).proof.storeTime);
@@ -83,26 +83,26 @@
 Test(groupnews, lists_come_whole_or_not_at_all)
 {
 	kj::AsyncIoContext io = kj::setupAsyncIo();
-	const GroupKnowledge knowledge = knowing(130);
-	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, knowledge);
+	const GroupState groupState = groupStateWithUpstreams(130);
+	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, groupState);
 	std::size_t whole = 0;
 	for (int child = 0; child < 13; ++child)
 	{
-		GroupKnowledge told;
-		told.roster = knowledge.roster; // it comes before the list
+		GroupState told;
+		told.roster = groupState.roster; // it comes before the list
 		if (0 == child % 2)
 		{
-			takeNews(told, newsFor(knowing(10), {}, 0), 50); // it has the first of them already
+			applyNews(told, newsFor(groupStateWithUpstreams(10), {}, 0), 50); // it has the first of them already
 		}
-		takeNews(told, fanOut.newsWithin(heldOf(told)), 100);
+		applyNews(told, fanOut.newsWithinBudget(heldVersions(told)), 100);
 		cr_assert(5 == told.news.number, "the state of the group comes always");
 		const store::FollowedTable& list = told.tables.upstreams;
 		cr_assert(list.rows.size() == list.version, "%zu rows up to %lu", list.rows.size(), static_cast<unsigned long>(list.version));
 		whole += 130 == list.rows.size() ? 1 : 0;
 	}
 	cr_assert(1 <= whole && whole <= 2, "%zu of 13 at once, 56 KB each over a link of 750 KB/s", whole);
-	GroupKnowledge unheard;
-	takeNews(unheard, fanOut.newsWithin(std::nullopt), 100);
+	GroupState unheard;
+	applyNews(unheard, fanOut.newsWithinBudget(std::nullopt), 100);
 	cr_assert(0 == unheard.tables.upstreams.version && 0 == unheard.roster.version);
 }
 
@@ -111,15 +111,15 @@
 Test(groupnews, all_get_the_roster_before_any_gets_the_list)
 {
 	kj::AsyncIoContext io = kj::setupAsyncIo();
-	const GroupKnowledge knowledge = knowing(130);
-	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, knowledge);
-	std::vector<GroupKnowledge> children(23);
-	for (GroupKnowledge& child : children)
+	const GroupState groupState = groupStateWithUpstreams(130);
+	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, groupState);
+	std::vector<GroupState> children(23);
+	for (GroupState& child : children)
 	{
-		takeNews(child, fanOut.newsWithin(heldOf(child)), 100);
+		applyNews(child, fanOut.newsWithinBudget(heldVersions(child)), 100);
 		cr_assert(1 == child.roster.version);
 	}
-	takeNews(children.front(), fanOut.newsWithin(heldOf(children.front())), 200);
+	applyNews(children.front(), fanOut.newsWithinBudget(heldVersions(children.front())), 200);
 	cr_assert(130 == children.front().tables.upstreams.rows.size());
 }
 
@@ -139,22 +139,22 @@
 Test(groupnews, a_branch_is_told_as_it_was_seen)
 {
 	const std::vector<std::string> engines{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"};
-	BranchSight sight;
-	sight.newest = {"g", 4, "10.0.0.9:7340", true};
-	sight.tookMs = 12;
-	sight.children = {{engines[2], report(2, 41, 6), 9}, {engines[0], report(0, 40, 5), 3}};
-	sight.choices = {2, 190, {200, 3, 0}};
-	sight.gateways = {2, {9, 7}};
-	sight.held = {4, 2, {86, 87, 88}};
+	BranchSnapshot snapshot;
+	snapshot.newest = {"g", 4, "10.0.0.9:7340", true};
+	snapshot.tookMs = 12;
+	snapshot.children = {{engines[2], report(2, 41, 6), 9}, {engines[0], report(0, 40, 5), 3}};
+	snapshot.choices = {2, 190, {200, 3, 0}};
+	snapshot.gateways = {2, {9, 7}};
+	snapshot.held = {4, 2, {86, 87, 88}};
 	capnp::MallocMessageBuilder message;
 	auto builder = message.initRoot<rpc::RankDaemon::RelayResults>();
-	writeBranchSight(builder, sight, engines);
-	cr_assert(readBranchSight(builder.asReader(), engines) == sight);
+	writeBranchSnapshot(builder, snapshot, engines);
+	cr_assert(readBranchSnapshot(builder.asReader(), engines) == snapshot);
 }
 
 Test(groupnews, news_are_told_as_they_are)
 {
-	NewsBundle bundle = newsFor(knowing(3), {}, 0);
+	NewsBundle bundle = newsFor(groupStateWithUpstreams(3), {}, 0);
 	bundle.news.paces = {{2, 12.0}};
 	bundle.tables.operators = {120, 9, false, {row("x", 8)}, {{"y", 9, 4, std::string("\0\x80z", 3)}}};
 	capnp::MallocMessageBuilder message;
@@ -166,29 +166,29 @@
 /// Gateways that look for their groups after a restart ask many daemons: 36 were counted as 249.
 Test(groupnews, a_gateway_that_looks_for_a_group_is_not_counted)
 {
-	GroupKnowledge knowledge = knowing(1);
-	noteGateway(knowledge, "", {10, 3}, 1'000);
-	cr_assert(0 == tallyOf(knowledge, 1'100).count);
-	noteGateway(knowledge, "a", {10, 3}, 1'100);
-	noteGateway(knowledge, "", {10, 3}, 1'200);
-	cr_assert(1 == tallyOf(knowledge, 1'300).count);
+	GroupState groupState = groupStateWithUpstreams(1);
+	recordGateway(groupState, "", {10, 3}, 1'000);
+	cr_assert(0 == tallyOf(groupState, 1'100).count);
+	recordGateway(groupState, "a", {10, 3}, 1'100);
+	recordGateway(groupState, "", {10, 3}, 1'200);
+	cr_assert(1 == tallyOf(groupState, 1'300).count);
 }
 
 /// A configuration comes before the list of upstreams, which is longer, and neither keeps the other back for good.
 Test(groupnews, what_operators_ask_for_comes_before_the_list)
 {
 	kj::AsyncIoContext io = kj::setupAsyncIo();
-	GroupKnowledge knowledge = knowing(130);
+	GroupState groupState = groupStateWithUpstreams(130);
 	store::Rows rows;
 	rows.rows = {{{"", "", "config"}, std::string(35'000, 'c'), 200, false}};
 	rows.version = 200;
 	rows.storeTime = 100;
-	store::takeRows(knowledge.tables.operators, rows, true);
-	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, knowledge);
-	GroupKnowledge told;
-	told.roster = knowledge.roster;
-	takeNews(told, fanOut.newsWithin(heldOf(told)), 100);
+	store::takeRows(groupState.tables.operators, rows, true);
+	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, groupState);
+	GroupState told;
+	told.roster = groupState.roster;
+	applyNews(told, fanOut.newsWithinBudget(heldVersions(told)), 100);
 	cr_assert(200 == told.tables.operators.version && 0 == told.tables.upstreams.version);
-	const NewsBundle proofAlone = fanOut.newsWithin(HeldVersions());
+	const NewsBundle proofAlone = fanOut.newsWithinBudget(HeldVersions());
 	cr_assert(0 == proofAlone.tables.operators.version && 5 == proofAlone.news.number, "the link's share is used up");
 }
--- a/tests/test_groups.cpp
+++ b/tests/test_groups.cpp
@@ -36,7 +36,7 @@
 	}
 
 	/// Groups that a gateway knows.
-	void startKnown(GroupRig& _rig)
+	void startGatewayThatKnowsAllGroups(GroupRig& _rig)
 	{
 		_rig.startGateway(kGateway);
 		for (const RigGroup& group : _rig.groups)
@@ -60,7 +60,7 @@
 Test(groups, a_gateway_knows_which_rank_is_in_which_group)
 {
 	GroupRig rig(std::vector<std::size_t>{4, 3});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	const std::map<std::string, int> calls = callsByGroup(rig, "both");
 	cr_assert(0 < calls.at("g-0") && 0 < calls.at("g-1") && !calls.contains(""));
 }
@@ -68,7 +68,7 @@
 Test(groups, requests_go_to_the_others_while_a_group_is_down)
 {
 	GroupRig rig(std::vector<std::size_t>{4, 3});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	rig.groups[0].control({{"broken", true}});
 	// From the first one on: what meets the broken group is proved not run, and is sent to the other.
 	const std::map<std::string, int> down = callsByGroup(rig, "down");
@@ -82,7 +82,7 @@
 Test(groups, when_all_groups_are_down_a_request_hears_it_at_once)
 {
 	GroupRig rig(std::vector<std::size_t>{2, 2});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	for (const RigGroup& group : rig.groups)
 	{
 		group.control({{"broken", true}});
@@ -103,7 +103,7 @@
 {
 	constexpr Millis kLeftMs = 1'400; // of the route's 1,500: it was here before
 	GroupRig rig(std::vector<std::size_t>{2, 2});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	for (const RigGroup& group : rig.groups)
 	{
 		group.control({{"broken", true}});
@@ -120,7 +120,7 @@
 Test(groups, a_zone_that_is_cut_with_its_group_is_left_alone)
 {
 	GroupRig rig(std::vector<std::size_t>{2, 2});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	rig.groups[0].signal(SIGSTOP);
 	cr_assert(lab::waitUntil(kRigWaitMs, [&] {
 		const Json cut = rig.groupDump(kGateway, "g-0");
@@ -135,7 +135,7 @@
 Test(groups, a_killed_coordinator_stops_no_other_group)
 {
 	GroupRig rig(std::vector<std::size_t>{4, 3});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	cr_assert(rig.groups[0].switchesAgain(1, kSwitchMs));
 	const std::size_t first = rig.coordinator(rig.groups[0]);
 	cr_assert(first < kRanks);
@@ -154,7 +154,7 @@
 Test(groups, a_group_that_forms_anew_under_load_loses_no_request)
 {
 	GroupRig rig(std::vector<std::size_t>{4, 3});
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	for (int round = 0; round < 3; ++round)
 	{
 		rig.groups[0].control({{"broken", true}});
@@ -197,9 +197,9 @@
 /// daemons the busiest had 1,000 of 2,048 descriptors open.
 Test(groups, a_coordinator_keeps_no_links_to_other_groups)
 {
-	constexpr std::size_t kMostSockets = 14; // of its own group, its engine, the store, who asks it
+	constexpr std::size_t kMaxSockets = 14; // of its own group, its engine, the store, who asks it
 	GroupRig rig(std::vector<std::size_t>(8, 2));
-	startKnown(rig);
+	startGatewayThatKnowsAllGroups(rig);
 	for (const RigGroup& group : rig.groups)
 	{
 		const std::size_t rank = rig.coordinator(group);
@@ -208,7 +208,7 @@
 		std::size_t sockets = 0;
 		const bool few = lab::waitUntil(1'000, [&] {
 			sockets = openSockets(process);
-			return sockets <= kMostSockets;
+			return sockets <= kMaxSockets;
 		});
 		cr_assert(few, "%zu of the coordinator of %s", sockets, group.name.c_str());
 	}
