--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -86,7 +86,7 @@
 	'return std::max(newestStep(_ranks) + _marginSteps, _intent.boundary + 1);' 'return newestStep(_ranks) + _marginSteps;'
 mutant gateway-takes-proofs-of-another-row "evacuation_.*" src/decide/evacuation.cpp \
 	'return _table.knownUpTo < _changedAt;' 'return false;'
-mutant gateway-trusts-old-news "group_gateways_ask_the_store_themselves_while_nobody_tells" src/gateway/watch_news.cpp \
+mutant gateway-trusts-old-news "group_gateways_read_the_store_themselves_without_a_coordinator" src/gateway/watch_news.cpp \
 	'constexpr Millis kToldMaxAgeMs = 700;' 'constexpr Millis kToldMaxAgeMs = 700'"'"'000;' \
 	'constexpr double kNewsShareOfChange = 0.6;' 'constexpr double kNewsShareOfChange = 600.0;'
 mutant sidecar-takes-over-from-a-living-coordinator "group_ranks_that_start_together_agree_on_one_coordinator" src/group/sidecar.cpp \
--- a/tests/group_rig.h
+++ b/tests/group_rig.h
@@ -1,5 +1,5 @@
-/// Groups of engine ranks with a sidecar beside each, and gateways, before stand-ins of the users'
-/// platform, all as processes of their own.
+/// Test rig: groups of engine ranks with a sidecar beside each, gateways, and stubs of the users'
+/// platform, each in its own process.
 #pragma once
 
 #include <map>
@@ -16,7 +16,7 @@
 	{
 		std::string name;
 		std::size_t number = 0;
-		std::unique_ptr<lab::ChildProcess> ranks; ///< One process plays all of them.
+		std::unique_ptr<lab::ChildProcess> ranks; ///< One process simulates all engines.
 		std::vector<std::string> engines;         ///< IP:port of each rank.
 		std::vector<std::unique_ptr<lab::ChildProcess>> sidecars;
 
@@ -50,7 +50,8 @@
 			});
 		}
 
-		/// Makes other experts hot until the group has switched some more times.
+		/// Keeps changing the hot experts until the group has made more switches.
+		/// @returns Whether it made them in time.
 		bool switchesAgain(std::uint64_t _times, Millis _withinMs) const
 		{
 			const std::uint64_t goal = this->switches() + _times;
@@ -68,7 +69,7 @@
 			cr_assert(0 == record["splits"].get<int>(), "record: %s", record.dump().c_str());
 		}
 
-		/// Sends a signal to the ranks and their sidecars: SIGSTOP looks like a cut zone from outside.
+		/// Sends a signal to the ranks and their sidecars. SIGSTOP simulates a zone that is cut off.
 		void signal(int _signal)
 		{
 			this->ranks->signal(_signal);
@@ -91,7 +92,8 @@
 			this->addGroup("g", _reportDelayMs);
 		}
 
-		/// Several groups of one service, by their sizes.
+		/// Several groups of one service.
+		/// @param[in] _sizes Number of ranks of each group.
 		explicit GroupRig(const std::vector<std::size_t>& _sizes)
 		    : store(this->directory.path + "/store.log")
 		{
@@ -102,7 +104,7 @@
 			}
 		}
 
-		/// Loopback addresses that no other test process uses.
+		/// @returns A loopback address that no other test process uses.
 		std::string ipOf(const RigGroup& _group, std::size_t _rank) const
 		{
 			const int process = getpid();
@@ -137,16 +139,16 @@
 			return this->coordinator(this->groups.front());
 		}
 
-		/// Starts a gateway whose way to the store can be cut: it is told by the coordinator.
+		/// Starts a gateway behind a proxy that can cut its connection to the store. The coordinator sends it news.
 		void startGateway(const std::string& _name)
 		{
 			if (nullptr == this->proxy)
 			{
 				this->proxy = std::make_unique<lab::ProxyStub>(this->directory.path + "/proxy.log");
 			}
-			const std::string wayToStore = this->proxy->link(_name, this->store.address);
+			const std::string storeAddress = this->proxy->link(_name, this->store.address);
 			const std::string path = fmt::format("{}/{}.json", this->directory.path, _name);
-			std::ofstream(path) << Json{{"name", _name}, {"zone", "here"}, {"ip", "127.0.0.1"}, {"peerPort", 7340}, {"metrics", "127.0.0.1:0"}, {"store", wayToStore}, {"callers", "127.0.0.1:0"}, {"readiness", "127.0.0.1:0"}, {"revocationMs", kRevocationMs}, {"graceS", 8}, {"retryRatio", 0.2}, {"retryWindowS", 10}, {"retryAllowance", 6'400.0}}.dump();
+			std::ofstream(path) << Json{{"name", _name}, {"zone", "here"}, {"ip", "127.0.0.1"}, {"peerPort", 7340}, {"metrics", "127.0.0.1:0"}, {"store", storeAddress}, {"callers", "127.0.0.1:0"}, {"readiness", "127.0.0.1:0"}, {"revocationMs", kRevocationMs}, {"graceS", 8}, {"retryRatio", 0.2}, {"retryWindowS", 10}, {"retryAllowance", 6'400.0}}.dump();
 			this->gateways[_name] = std::make_unique<lab::ChildProcess>(std::string(ARCHDYKE_BIN_DIR) + "/archdyke-gateway", std::vector<std::string>{"--settings", path}, fmt::format("{}/{}.log", this->directory.path, _name));
 			this->gatewayMetrics[_name] = this->gateways[_name]->listening("metrics");
 			this->gatewayCallers[_name] = this->gateways[_name]->listening("http");
@@ -161,8 +163,8 @@
 			return result ? Json::parse(result->body) : Json::object();
 		}
 
-		/// @returns Calls to the store that a process has made, for all tables.
-		/// @param[in] _metrics Where it serves its counters.
+		/// @returns Number of calls to the store that a process has made, for all tables.
+		/// @param[in] _metrics Address at which the process serves its metrics.
 		static double storeCallsAt(const std::string& _metrics)
 		{
 			const httplib::Result result = clientOf(_metrics).Get("/metrics");
@@ -176,25 +178,25 @@
 			return calls;
 		}
 
-		/// @returns The same of a gateway.
+		/// @returns Number of calls to the store that a gateway has made.
 		double storeCalls(const std::string& _name) const
 		{
 			const double calls = storeCallsAt(this->gatewayMetrics.at(_name));
-			cr_assert(0.0 < calls, "it has read the list of upstreams at least");
+			cr_assert(0.0 < calls, "a gateway reads at least the list of upstreams");
 			return calls;
 		}
 
-		/// A caller's request through a gateway.
-		/// @param[in] _maxWaitMs What the caller has left.
-		/// @returns Status; the body names the group that ran it.
-		RigAnswer call(const std::string& _gateway, const std::string& _request, Millis _maxWaitMs = 1'500) const
+		/// Sends a caller's request through a gateway.
+		/// @param[in] _deadlineMs Time until the caller's deadline.
+		/// @returns The response, whose body names the group that ran the request; status 0 if there is none.
+		RigAnswer call(const std::string& _gateway, const std::string& _request, Millis _deadlineMs = 1'500) const
 		{
 			httplib::Client client = clientOf(this->gatewayCallers.at(_gateway));
-			const httplib::Result result = client.Get("/safe/x", GatewayRig::headersFor(_request, _maxWaitMs));
+			const httplib::Result result = client.Get("/safe/x", GatewayRig::headersFor(_request, _deadlineMs));
 			return result ? RigAnswer{result->status, result->body, result->headers} : RigAnswer();
 		}
 
-		/// @returns What a gateway says of a group; null when it doesn't know it.
+		/// @returns A gateway's dump of a group; null if it doesn't know the group.
 		Json groupDump(const std::string& _gateway, const std::string& _group) const
 		{
 			for (const Json& group : this->gatewayDump(_gateway).value("groups", Json::array()))
@@ -207,7 +209,7 @@
 			return Json();
 		}
 
-		/// Waits until a gateway knows all ranks of a group and that it is open, or isn't.
+		/// Waits until a gateway knows all ranks of a group and whether it is down.
 		bool waitForGroup(const std::string& _gateway, const RigGroup& _group, bool _down = false) const
 		{
 			return lab::waitUntil(kRigWaitMs, [&] {
@@ -221,7 +223,7 @@
 			this->proxy->faults(_name, {{"cutToTarget", _cut}, {"cutToClient", _cut}});
 		}
 
-		/// Writes the configuration again, as a newer version.
+		/// Writes the configuration with the given version.
 		void configure(std::uint64_t _version)
 		{
 			Json configuration = lab::configurationJson(_version, {"key-one"}, Json::array());
--- a/tests/test_group.cpp
+++ b/tests/test_group.cpp
@@ -1,5 +1,5 @@
-/// Sidecars as processes before a stand-in of a lock-step group: maps follow the hot expert, no
-/// pass is split, whoever dies or whatever orders come late.
+/// Sidecar processes with a stub of a lock-step group: maps follow the hot expert and no pass is split
+/// between two maps, even if processes crash or orders arrive late.
 #include <csignal>
 
 #include "group_rig.h"
@@ -39,7 +39,7 @@
 	rig.groups.front().expectNoSplit();
 }
 
-Test(group, a_paused_coordinator_that_wakes_does_no_harm)
+Test(group, a_paused_coordinator_that_resumes_splits_no_pass)
 {
 	GroupRig rig;
 	cr_assert(rig.groups.front().switchesAgain(1, kSwitchMs));
@@ -80,7 +80,7 @@
 	rig.groups.front().expectNoSplit();
 }
 
-Test(group, a_row_that_cannot_be_read_stops_nobody_for_good)
+Test(group, an_unreadable_group_row_blocks_a_takeover_only_until_it_is_removed)
 {
 	GroupRig rig;
 	cr_assert(rig.groups.front().switchesAgain(1, kSwitchMs));
@@ -100,8 +100,8 @@
 	}));
 }
 
-/// Gateways are told of the store, also while it turns them away.
-Test(group, a_gateway_that_the_store_turns_away_goes_by_what_others_have)
+/// A gateway that can't reach the store gets the store's tables from the coordinator.
+Test(group, a_gateway_cut_from_the_store_uses_the_news_of_the_coordinator)
 {
 	GroupRig rig;
 	cr_assert(rig.groups.front().switchesAgain(1, kSwitchMs));
@@ -118,12 +118,12 @@
 		return !dump.value("ready", false);
 	});
 	cr_assert(until <= nowMs() && oldest < 2'000, "proof of %lld ms", static_cast<long long>(oldest));
-	// A worker that leaves is learnt too.
+	// The removal of an upstream reaches the gateway too.
 	rig.store.remove("servers", "rank-3");
 	cr_assert(lab::waitUntil(kRigWaitMs, [&] {
 		return kRanks - 1 == rig.gatewayDump("gateway-b")["upstreams"].size();
 	}));
-	// So is a configuration, as soon as by the others, and the gateway stays ready.
+	// So does a configuration, as soon as at the other gateways, and the gateway stays ready.
 	rig.configure(2);
 	cr_assert(lab::waitUntil(2'000, [&] {
 		return 2 == rig.gatewayDump("gateway-b")["catalog"].get<int>() && 2 == rig.gatewayDump("gateway-c")["catalog"].get<int>();
@@ -132,8 +132,9 @@
 	rig.cutFromStore("gateway-b", false);
 }
 
-/// All daemons start while such a row is the first that was written: the coordinator reads the list whole.
-Test(group, a_row_of_another_writer_keeps_no_rank_out)
+/// A row of another writer that can't be read, as the first row of the list, must not hide the other rows.
+/// All daemons restart, so the new coordinator reads the whole list.
+Test(group, an_unreadable_upstream_row_excludes_no_rank)
 {
 	GroupRig rig;
 	RigGroup& group = rig.groups.front();
@@ -155,8 +156,8 @@
 	group.expectNoSplit();
 }
 
-/// Without a coordinator each gateway asks the store, and a change is in force as before.
-Test(group, gateways_ask_the_store_themselves_while_nobody_tells)
+/// Without a coordinator each gateway reads the store itself, and a change is in force as soon as before.
+Test(group, gateways_read_the_store_themselves_without_a_coordinator)
 {
 	GroupRig rig;
 	cr_assert(rig.groups.front().switchesAgain(1, kSwitchMs));
@@ -169,12 +170,12 @@
 		return false;
 	});
 	const double calls = rig.storeCalls("gateway-b") - before;
-	cr_assert(calls <= 2.0, "%f calls in 3 s while it is told", calls);
+	cr_assert(calls <= 2.0, "%f calls in 3 s while the coordinator sends news", calls);
 	for (auto& sidecar : rig.groups.front().sidecars)
 	{
 		sidecar->signal(SIGSTOP);
 	}
-	// The first moment after the loss: a change just then is in force within 2 s all the same.
+	// A change right after the loss of the coordinator must also be in force within 2 s.
 	rig.configure(2);
 	cr_assert(lab::waitUntil(2'000, [&] {
 		return 2 == rig.gatewayDump("gateway-b")["catalog"].get<int>();
@@ -185,7 +186,7 @@
 	}
 }
 
-/// A sidecar that hears the coordinator while it still asks its own engine doesn't take over.
+/// A sidecar that hears a coordinator while it waits for its own engine's report must not take over.
 Test(group, ranks_that_start_together_agree_on_one_coordinator)
 {
 	GroupRig rig(std::vector<Millis>{100, 180, 180, 180});
@@ -200,8 +201,8 @@
 	cr_assert(!another);
 }
 
-/// A frozen daemon would keep its group on a map that no longer fits: its engine is asked and
-/// ordered from afar meanwhile.
+/// A frozen daemon would keep its group on an outdated map; its engine is polled and ordered directly
+/// while the daemon is frozen.
 Test(group, maps_follow_the_hot_expert_while_a_daemon_is_frozen)
 {
 	GroupRig rig;
@@ -215,7 +216,7 @@
 	group.expectNoSplit();
 }
 
-/// The same for the coordinator's: the next one has never heard its daemon.
+/// The same for the coordinator's own daemon, which the next coordinator has never heard.
 Test(group, maps_follow_the_hot_expert_while_the_coordinator_is_frozen)
 {
 	GroupRig rig;
@@ -230,7 +231,7 @@
 	group.expectNoSplit();
 }
 
-/// Each write of the row takes nearly a second: a switch takes two, and none is abandoned for it.
+/// Each write of the row takes nearly a second and a switch needs two writes; no switch may be abandoned for it.
 Test(group, a_slow_store_abandons_no_switch)
 {
 	GroupRig rig;
@@ -243,10 +244,10 @@
 	group.expectNoSplit();
 }
 
-/// The store goes away as soon as the group is held: no write is needed to let it go on.
-Test(group, a_store_that_is_lost_while_the_group_is_held_lets_it_go_on)
+/// The store becomes unavailable as soon as the group is held. Releasing the hold needs no write.
+Test(group, a_store_lost_while_the_group_is_held_does_not_block_it)
 {
-	constexpr Millis kWriteMs = 300; // a write that follows the hold is under way when the store is lost
+	constexpr Millis kWriteMs = 300; // long enough that a write after the hold is in flight when the store is lost
 	constexpr Millis kLongestHoldMs = 500;
 	GroupRig rig;
 	RigGroup& group = rig.groups.front();
--- a/tests/test_group_news.cpp
+++ b/tests/test_group_news.cpp
@@ -1,5 +1,5 @@
-/// What daemons keep and pass on of their group: newest wins, lists within a share of the link and never
-/// by halves.
+/// News that daemons store and forward: the newest replace older ones, and lists are sent whole, within a
+/// share of the link's rate.
 #include "group/branch.h"
 #include "group/fan_out.h"
 #include "group/news_rpc.h"
@@ -30,7 +30,7 @@
 		return result;
 	}
 
-	/// A daemon that knows a list of some hundred upstreams.
+	/// @returns The state of a daemon that has a list of upstreams.
 	GroupState groupStateWithUpstreams(std::size_t _upstreams)
 	{
 		GroupState groupState;
@@ -65,7 +65,7 @@
 	cr_assert(2 == groupState.news.number && 350 - 300 == newsFor(groupState, {}, 350).news.ageMs);
 }
 
-Test(groupnews, gateways_are_counted_while_they_ask_and_the_newest_proof_is_told)
+Test(groupnews, gateways_are_counted_while_they_poll_and_the_newest_proof_is_kept)
 {
 	GroupState groupState;
 	recordGateway(groupState, "b", {10, 3}, 1'000);
@@ -78,8 +78,8 @@
 	cr_assert(40 == merged(tally, {0, {}}).proof.storeTime);
 }
 
-/// One who is told up to which version a list is takes that for having it: a list that doesn't fit into
-/// the link's share must not be told of at all.
+/// A receiver that is sent a list's version assumes that it has the list up to it. So if a list doesn't fit
+/// into the link's share, its version must not be sent either.
 Test(groupnews, lists_come_whole_or_not_at_all)
 {
 	kj::AsyncIoContext io = kj::setupAsyncIo();
@@ -88,26 +88,26 @@
 	std::size_t whole = 0;
 	for (int child = 0; child < 13; ++child)
 	{
-		GroupState told;
-		told.roster = groupState.roster; // it comes before the list
+		GroupState receiver;
+		receiver.roster = groupState.roster; // is sent before the list
 		if (0 == child % 2)
 		{
-			applyNews(told, newsFor(groupStateWithUpstreams(10), {}, 0), 50); // it has the first of them already
+			applyNews(receiver, newsFor(groupStateWithUpstreams(10), {}, 0), 50); // already has the first upstreams
 		}
-		applyNews(told, fanOut.newsWithinBudget(heldVersions(told)), 100);
-		cr_assert(5 == told.news.number, "the state of the group comes always");
-		const store::FollowedTable& list = told.tables.upstreams;
+		applyNews(receiver, fanOut.newsWithinBudget(heldVersions(receiver)), 100);
+		cr_assert(5 == receiver.news.number, "the state of the group is always sent");
+		const store::FollowedTable& list = receiver.tables.upstreams;
 		cr_assert(list.rows.size() == list.version, "%zu rows up to %lu", list.rows.size(), static_cast<unsigned long>(list.version));
 		whole += 130 == list.rows.size() ? 1 : 0;
 	}
 	cr_assert(1 <= whole && whole <= 2, "%zu of 13 at once, 56 KB each over a link of 750 KB/s", whole);
-	GroupState unheard;
-	applyNews(unheard, fanOut.newsWithinBudget(std::nullopt), 100);
-	cr_assert(0 == unheard.tables.upstreams.version && 0 == unheard.roster.version);
+	GroupState neverReported;
+	applyNews(neverReported, fanOut.newsWithinBudget(std::nullopt), 100);
+	cr_assert(0 == neverReported.tables.upstreams.version && 0 == neverReported.roster.version);
 }
 
-/// After all daemons were killed each of them lacks both. A gateway that asks one without the roster
-/// can't use its group.
+/// After all daemons were killed, each of them lacks the roster and the list. A gateway that polls a daemon
+/// without the roster can't use its group.
 Test(groupnews, all_get_the_roster_before_any_gets_the_list)
 {
 	kj::AsyncIoContext io = kj::setupAsyncIo();
@@ -123,7 +123,7 @@
 	cr_assert(130 == children.front().tables.upstreams.rows.size());
 }
 
-Test(groupnews, changes_alone_make_no_list)
+Test(groupnews, changes_are_not_applied_without_their_base)
 {
 	store::FollowedTable table;
 	const store::TableNews changes{100, 9, false, {row("x", 9)}, {}};
@@ -136,7 +136,7 @@
 	cr_assert(3 == table.rows.size(), "an older one changes nothing");
 }
 
-Test(groupnews, a_branch_is_told_as_it_was_seen)
+Test(groupnews, a_branch_snapshot_survives_encoding)
 {
 	const std::vector<std::string> engines{"10.0.0.1:80", "10.0.0.2:80", "10.0.0.3:80"};
 	BranchSnapshot snapshot;
@@ -152,7 +152,7 @@
 	cr_assert(readBranchSnapshot(builder.asReader(), engines) == snapshot);
 }
 
-Test(groupnews, news_are_told_as_they_are)
+Test(groupnews, a_news_bundle_survives_encoding)
 {
 	NewsBundle bundle = newsFor(groupStateWithUpstreams(3), {}, 0);
 	bundle.news.paces = {{2, 12.0}};
@@ -163,8 +163,9 @@
 	cr_assert(readBundle(builder.asReader()) == bundle);
 }
 
-/// Gateways that look for their groups after a restart ask many daemons: 36 were counted as 249.
-Test(groupnews, a_gateway_that_looks_for_a_group_is_not_counted)
+/// Guards against counting gateways at each daemon that they poll in the search for their groups after a
+/// restart: 36 gateways were counted as 249.
+Test(groupnews, a_gateway_that_searches_for_a_group_is_not_counted)
 {
 	GroupState groupState = groupStateWithUpstreams(1);
 	recordGateway(groupState, "", {10, 3}, 1'000);
@@ -174,8 +175,8 @@
 	cr_assert(1 == tallyOf(groupState, 1'300).count);
 }
 
-/// A configuration comes before the list of upstreams, which is longer, and neither keeps the other back for good.
-Test(groupnews, what_operators_ask_for_comes_before_the_list)
+/// A configuration is sent before the list of upstreams, which is longer, and neither blocks the other for good.
+Test(groupnews, the_configuration_is_sent_before_the_list_of_upstreams)
 {
 	kj::AsyncIoContext io = kj::setupAsyncIo();
 	GroupState groupState = groupStateWithUpstreams(130);
@@ -185,10 +186,10 @@
 	rows.storeTime = 100;
 	store::takeRows(groupState.tables.operators, rows, true);
 	FanOut fanOut({io.provider->getNetwork(), io.provider->getTimer()}, 7340, kLinkMbps, groupState);
-	GroupState told;
-	told.roster = groupState.roster;
-	applyNews(told, fanOut.newsWithinBudget(heldVersions(told)), 100);
-	cr_assert(200 == told.tables.operators.version && 0 == told.tables.upstreams.version);
+	GroupState receiver;
+	receiver.roster = groupState.roster;
+	applyNews(receiver, fanOut.newsWithinBudget(heldVersions(receiver)), 100);
+	cr_assert(200 == receiver.tables.operators.version && 0 == receiver.tables.upstreams.version);
 	const NewsBundle proofAlone = fanOut.newsWithinBudget(HeldVersions());
 	cr_assert(0 == proofAlone.tables.operators.version && 5 == proofAlone.news.number, "the link's share is used up");
 }
--- a/tests/test_groups.cpp
+++ b/tests/test_groups.cpp
@@ -1,5 +1,5 @@
-/// Several groups of engine ranks in one service: each has its coordinator, its map and its faults,
-/// and gateways send requests where they can run.
+/// Several groups of engine ranks in one service: each has its own coordinator, map and faults, and
+/// gateways send requests to groups that can run them.
 #include <csignal>
 
 #include "group_rig.h"
@@ -12,7 +12,8 @@
 	constexpr const char* kGateway = "gateway-a";
 	constexpr int kCalls = 40;
 
-	/// Requests through a gateway, by the group that ran them; "" for those that nobody ran.
+	/// Sends requests through a gateway.
+	/// @returns Number of requests by the group that ran them; "" for requests that no group ran.
 	std::map<std::string, int> callsByGroup(const GroupRig& _rig, const std::string& _prefix, int _calls = kCalls)
 	{
 		std::map<std::string, int> counts;
@@ -35,7 +36,7 @@
 		return sockets;
 	}
 
-	/// Groups that a gateway knows.
+	/// Starts a gateway and waits until it knows all groups.
 	void startGatewayThatKnowsAllGroups(GroupRig& _rig)
 	{
 		_rig.startGateway(kGateway);
@@ -70,7 +71,7 @@
 	GroupRig rig(std::vector<std::size_t>{4, 3});
 	startGatewayThatKnowsAllGroups(rig);
 	rig.groups[0].control({{"broken", true}});
-	// From the first one on: what meets the broken group is proved not run, and is sent to the other.
+	// True from the first request on: a request that reaches the broken group is known not to have run, and is sent to the other group.
 	const std::map<std::string, int> down = callsByGroup(rig, "down");
 	cr_assert(kCalls == down.at("g-1"), "%s", Json(down).dump().c_str());
 	rig.groups[0].control({{"broken", false}});
@@ -79,7 +80,7 @@
 	cr_assert(0 < open.at("g-0") && !open.contains(""));
 }
 
-Test(groups, when_all_groups_are_down_a_request_hears_it_at_once)
+Test(groups, a_request_is_refused_at_once_while_all_groups_are_down)
 {
 	GroupRig rig(std::vector<std::size_t>{2, 2});
 	startGatewayThatKnowsAllGroups(rig);
@@ -97,11 +98,11 @@
 	cr_assert(nowMs() - before < 300);
 }
 
-/// After all groups stood, callers whose answers broke come back before the gateway hears that they are
-/// open again. A caller comes back once as a rule.
-Test(groups, who_came_back_is_served_when_a_group_opens)
+/// After an outage of all groups, callers whose responses broke off retry before the gateway knows that a
+/// group is open again. Since callers usually retry only once, that request must wait for a group.
+Test(groups, a_retried_request_is_served_when_a_group_opens)
 {
-	constexpr Millis kLeftMs = 1'400; // of the route's 1,500: it was here before
+	constexpr Millis kRemainingMs = 1'400; // of the route's 1,500 ms; the first attempt used the rest
 	GroupRig rig(std::vector<std::size_t>{2, 2});
 	startGatewayThatKnowsAllGroups(rig);
 	for (const RigGroup& group : rig.groups)
@@ -113,11 +114,11 @@
 		cr_assert(rig.waitForGroup(kGateway, group, true));
 	}
 	rig.groups[0].control({{"formAnew", true}, {"broken", false}});
-	const RigAnswer answer = rig.call(kGateway, "again", kLeftMs);
+	const RigAnswer answer = rig.call(kGateway, "again", kRemainingMs);
 	cr_assert(200 == answer.status && "g-0" == answer.body, "%d %s", answer.status, answer.body.c_str());
 }
 
-Test(groups, a_zone_that_is_cut_with_its_group_is_left_alone)
+Test(groups, a_group_in_a_cut_zone_gets_no_requests)
 {
 	GroupRig rig(std::vector<std::size_t>{2, 2});
 	startGatewayThatKnowsAllGroups(rig);
@@ -142,7 +143,7 @@
 	rig.groups[0].sidecars[first]->kill();
 	cr_assert(rig.groups[1].switchesAgain(2, kSwitchMs));
 	cr_assert(!callsByGroup(rig, "killed").contains(""));
-	// A rank without its daemon isn't given a map.
+	// A rank without its daemon gets no map, so the group switches only with the daemon back.
 	rig.start(rig.groups[0], first);
 	cr_assert(rig.groups[0].switchesAgain(1, kSwitchMs));
 	for (const RigGroup& group : rig.groups)
@@ -166,7 +167,7 @@
 	rig.groups[0].expectNoSplit();
 }
 
-/// A gateway is told the store's news by any coordinator, and stays out of the store's way.
+/// A gateway gets the store's tables from any group's coordinator and makes almost no calls to the store.
 Test(groups, several_coordinators_leave_two_readers_of_the_store)
 {
 	GroupRig rig(std::vector<std::size_t>{2, 2});
@@ -183,8 +184,8 @@
 		return false;
 	});
 	const double calls = rig.storeCalls("gateway-b") - before;
-	cr_assert(calls <= 2.0, "%f calls in 3 s while it is told", calls);
-	// One of the two coordinators goes with its group; the other's news are enough.
+	cr_assert(calls <= 2.0, "%f calls in 3 s while the coordinators send news", calls);
+	// One of the two coordinators fails with its group; the news of the other are enough.
 	rig.groups[0].signal(SIGSTOP);
 	rig.configure(2);
 	cr_assert(lab::waitUntil(2'000, [&] {
@@ -193,11 +194,11 @@
 	rig.groups[0].signal(SIGCONT);
 }
 
-/// A coordinator asked the daemons of all groups while it looked for its ranks, and kept the links to all of them. At 516
-/// daemons the busiest had 1,000 of 2,048 descriptors open.
+/// Guards against coordinators that keep their connections to the daemons of other groups after polling them in the
+/// search for their own ranks. With 516 daemons, the busiest coordinator had 1,000 of 2,048 descriptors open.
 Test(groups, a_coordinator_keeps_no_links_to_other_groups)
 {
-	constexpr std::size_t kMaxSockets = 14; // of its own group, its engine, the store, who asks it
+	constexpr std::size_t kMaxSockets = 14; // to its own group, its engine and the store, and from processes that poll it
 	GroupRig rig(std::vector<std::size_t>(8, 2));
 	startGatewayThatKnowsAllGroups(rig);
 	for (const RigGroup& group : rig.groups)
--- a/tests/test_tree.cpp
+++ b/tests/test_tree.cpp
@@ -1,5 +1,5 @@
-/// A group that is larger than one process speaks with: relays between its coordinator and its ranks, in
-/// processes of their own, and what happens when they die, freeze or start anew.
+/// A group that is too large to be polled by one process: relays between its coordinator and its ranks, all
+/// as processes, and relays that crash, freeze or restart.
 #include <algorithm>
 #include <csignal>
 
@@ -10,10 +10,10 @@
 
 namespace
 {
-	/// More than the fan-out of a branch, so that two relays stand between.
-	constexpr std::size_t kLarge = 34;
+	/// Larger than the fan-out of a branch, so that the group has two relays.
+	constexpr std::size_t kLargeGroupRanks = 34;
 
-	/// @returns What the group's coordinator says of itself; none when nobody coordinates.
+	/// @returns The dump of the group's coordinator; null if there is none.
 	Json coordinatorDump(const GroupRig& _rig, const RigGroup& _group)
 	{
 		for (std::size_t rank = 0; rank < _group.sidecars.size(); ++rank)
@@ -28,7 +28,7 @@
 		return Json();
 	}
 
-	/// @returns Ranks whose daemons relay: those whose engines' addresses come first.
+	/// @returns The ranks whose daemons are relays: those with the lowest engine addresses.
 	std::vector<std::size_t> relays(const RigGroup& _group)
 	{
 		std::vector<std::size_t> ranks(_group.engines.size());
@@ -45,18 +45,18 @@
 
 Test(tree, a_large_group_switches_maps_through_two_relays)
 {
-	GroupRig rig(std::vector<std::size_t>{kLarge});
+	GroupRig rig(std::vector<std::size_t>{kLargeGroupRanks});
 	const RigGroup& group = rig.groups.front();
 	cr_assert(group.switchesAgain(2, kSwitchMs));
 	group.expectNoSplit();
 	const Json dump = coordinatorDump(rig, group);
 	cr_assert(dump.is_object() && 2 == dump["branches"].get<int>(), "%s", dump.dump().c_str());
-	cr_assert(kLarge == dump["ranks"].size());
+	cr_assert(kLargeGroupRanks == dump["ranks"].size());
 }
 
-Test(tree, relays_that_die_freeze_and_start_anew_are_replaced)
+Test(tree, relays_that_crash_freeze_or_restart_are_replaced)
 {
-	GroupRig rig(std::vector<std::size_t>{kLarge});
+	GroupRig rig(std::vector<std::size_t>{kLargeGroupRanks});
 	RigGroup& group = rig.groups.front();
 	cr_assert(group.switchesAgain(1, kSwitchMs));
 	const std::vector<std::size_t> relaying = relays(group);
@@ -65,15 +65,15 @@
 	group.sidecars[relaying[1]]->signal(SIGSTOP);
 	cr_assert(group.switchesAgain(1, kSwitchMs), "the other relay is frozen too");
 	rig.start(group, relaying[0]);
-	cr_assert(group.switchesAgain(1, kSwitchMs), "the first one started anew");
+	cr_assert(group.switchesAgain(1, kSwitchMs), "the first relay has restarted");
 	group.sidecars[relaying[1]]->signal(SIGCONT);
-	cr_assert(group.switchesAgain(1, kSwitchMs), "the second one woke");
+	cr_assert(group.switchesAgain(1, kSwitchMs), "the second relay has resumed");
 	group.expectNoSplit();
 }
 
 Test(tree, a_gateway_learns_a_large_group_from_any_daemon)
 {
-	GroupRig rig(std::vector<std::size_t>{kLarge});
+	GroupRig rig(std::vector<std::size_t>{kLargeGroupRanks});
 	rig.startGateway("gateway-a");
 	cr_assert(rig.waitForGroup("gateway-a", rig.groups.front()), "%s", rig.gatewayDump("gateway-a")["groups"].dump().c_str());
 	for (int call = 0; call < 20; ++call)
@@ -82,10 +82,10 @@
 	}
 }
 
-/// The daemons of a large group agree on one coordinator, and keep it while nothing happens.
+/// The daemons of a large group agree on one coordinator and keep it while there are no faults.
 Test(tree, one_coordinator_from_start_to_end)
 {
-	GroupRig rig(std::vector<std::size_t>{kLarge});
+	GroupRig rig(std::vector<std::size_t>{kLargeGroupRanks});
 	const RigGroup& group = rig.groups.front();
 	cr_assert(group.switchesAgain(1, kSwitchMs));
 	const std::uint64_t term = coordinatorDump(rig, group)["term"].get<std::uint64_t>();
