--- a/src/group/branch.cpp
+++ b/src/group/branch.cpp
@@ -49,9 +49,9 @@
 			_builder.setHeld(encodeOptional(_shared.view.held));
 		}
 
-		void writeChild(rpc::ChildState::Builder _builder, const ChildSnapshot& _child, std::size_t _place, std::size_t _shared, std::uint64_t _leastStep)
+		void writeChild(rpc::ChildState::Builder _builder, const ChildSnapshot& _child, std::size_t _position, std::size_t _shared, std::uint64_t _leastStep)
 		{
-			_builder.setChild(std::uint16_t(_place));
+			_builder.setChild(std::uint16_t(_position));
 			_builder.setShared(std::uint16_t(_shared));
 			_builder.setAgeMs(clamped<std::uint16_t>(std::uint64_t(_child.ageMs)));
 			_builder.setRank(std::uint16_t(_child.report.rank));
@@ -76,13 +76,13 @@
 			{
 				const EngineReport common = sharedPart(_children[index].report);
 				const auto known = std::find(shared.begin(), shared.end(), common);
-				const std::size_t place = std::size_t(known - shared.begin());
+				const std::size_t position = std::size_t(known - shared.begin());
 				if (shared.end() == known)
 				{
 					shared.push_back(common);
 				}
 				const auto engine = std::find(_engines.begin(), _engines.end(), _children[index].engine);
-				writeChild(children[index], _children[index], std::size_t(engine - _engines.begin()), place, leastStep);
+				writeChild(children[index], _children[index], std::size_t(engine - _engines.begin()), position, leastStep);
 			}
 			_builder.setLeastStep(leastStep);
 			auto list = _builder.initShared(unsigned(shared.size()));
--- a/src/group/coordinator.cpp
+++ b/src/group/coordinator.cpp
@@ -130,12 +130,12 @@
 		for (const auto& [engine, rank] : this->ranks)
 		{
 			const EngineReport& report = rank.report;
-			if (0 == rank.seenAt || report.group != this->group)
+			if (0 == rank.observedAt || report.group != this->group)
 			{
 				continue;
 			}
 			result.resize(std::max<std::size_t>(result.size(), report.ranks));
-			const bool fresh = now - rank.seenAt <= _maxAgeMs && rank.seenAt >= this->rowReadAt;
+			const bool fresh = now - rank.observedAt <= _maxAgeMs && rank.observedAt >= this->rowReadAt;
 			if (fresh && report.rank < result.size())
 			{
 				result[report.rank] = report.view;
@@ -160,7 +160,7 @@
 		for (const auto& [engine, rank] : this->ranks)
 		{
 			const EngineReport& report = rank.report;
-			if (0 != rank.seenAt && report.group == this->group && report.rank < _ranks)
+			if (0 != rank.observedAt && report.group == this->group && report.rank < _ranks)
 			{
 				result[report.rank] = std::max(1.0, report.pace);
 			}
@@ -211,7 +211,7 @@
 			for (const auto& [engine, rank] : this->ranks)
 			{
 				const auto branch = this->branchOf.find(engine);
-				const bool unseenHere = now - rank.seenAt > kViewMaxAgeMs;
+				const bool unseenHere = now - rank.observedAt > kViewMaxAgeMs;
 				unseenExample = unseenHere ? engine + " by " + (this->branchOf.end() == branch ? "nobody" : branch->second) : unseenExample;
 			}
 			const auto unseen = std::count_if(_ranks.begin(), _ranks.end(), [](const RankView& _rank) {
@@ -229,18 +229,18 @@
 		return 0 < progress.found && progress.ranks <= progress.found;
 	}
 
-	bool Coordinator::takesTooLong(const std::vector<RankView>& _ranks) const
+	bool Coordinator::phaseTimedOut(const std::vector<RankView>& _ranks) const
 	{
 		const Millis since = nowMs() - this->phaseSince;
 		if (SwitchPhase::Preparing != this->intent.phase)
 		{
 			// The views are newer than the row's write, so a rank that froze with the hold is noticed within a few polls.
-			const bool allSeen = std::all_of(_ranks.begin(), _ranks.end(), [](const RankView& _rank) {
+			const bool allObserved = std::all_of(_ranks.begin(), _ranks.end(), [](const RankView& _rank) {
 				return _rank.seen;
 			});
-			return since > (allSeen && this->allReachable() ? kHoldTimeoutMs : kUnreachableHoldTimeoutMs);
+			return since > (allObserved && this->allReachable() ? kHoldTimeoutMs : kUnreachableHoldTimeoutMs);
 		}
-		const bool refused = std::any_of(this->sent.begin(), this->sent.end(), [](const auto& _entry) {
+		const bool refused = std::any_of(this->sentOrders.begin(), this->sentOrders.end(), [](const auto& _entry) {
 			return RankOrderKind::Prepare == _entry.first.kind && _entry.second.refused;
 		});
 		return refused || since > kPreparePhaseTimeoutMs;
@@ -258,7 +258,7 @@
 			co_return;
 		}
 		const std::vector<RankView> ranks = this->views(kViewMaxAgeMs);
-		const SwitchPatience patience{this->marginSteps(), this->takesTooLong(ranks), this->allReachable(), this->ownRank()};
+		const SwitchPatience patience{this->marginSteps(), this->phaseTimedOut(ranks), this->allReachable(), this->ownRank()};
 		SwitchStep step = decideSwitch(this->intent, ranks, withHistory(patience, this->intent, this->history));
 		this->history = withStep(this->history, this->intent, step);
 		if (!step.next)
@@ -343,7 +343,7 @@
 		nlohmann::json seen = nlohmann::json::array();
 		for (const auto& [engine, rank] : this->ranks)
 		{
-			seen.push_back({{"engine", engine}, {"rank", rank.report.rank}, {"ageMs", 0 == rank.seenAt ? -1 : nowMs() - rank.seenAt}, {"step", rank.report.view.step}, {"map", rank.report.view.map}, {"queued", rank.report.queued}, {"active", rank.report.active}, {"pace", rank.report.pace}});
+			seen.push_back({{"engine", engine}, {"rank", rank.report.rank}, {"ageMs", 0 == rank.observedAt ? -1 : nowMs() - rank.observedAt}, {"step", rank.report.view.step}, {"map", rank.report.view.map}, {"queued", rank.report.queued}, {"active", rank.report.active}, {"pace", rank.report.pace}});
 		}
 		return nlohmann::json{{"group", this->group}, {"term", this->intent.term}, {"phase", std::string(toString(this->intent.phase))}, {"version", this->intent.version}, {"boundary", this->intent.boundary}, {"storeLost", this->storeLost}, {"passMs", this->passMs}, {"skew", this->lastSkew}, {"switches", this->switches}, {"maps", this->describeMaps()}, {"branches", this->branches.size()}, {"gateways", this->dependencies.groupState.news.gateways}, {"ranks", seen}}.dump();
 	}
--- a/src/group/coordinator.h
+++ b/src/group/coordinator.h
@@ -40,7 +40,7 @@
 		explicit MapCounters(Metrics& _metrics);
 
 		prometheus::Counter& switches;
-		prometheus::Counter& stoodMs;
+		prometheus::Counter& stallMs;
 		prometheus::Gauge& skew;
 		prometheus::Gauge& savedMs;
 		prometheus::Gauge& costMs;
@@ -85,7 +85,7 @@
 			bool leaving = false;    ///< From the list of upstreams: the engine drains.
 			SearchCandidate search;  ///< Used while the engine isn't known to be in this group.
 			EngineReport report;
-			Millis seenAt = 0;         ///< Earliest time at which the report can have been made; 0: no report.
+			Millis observedAt = 0;     ///< Earliest time at which the report can have been made; 0: no report.
 			Millis daemonHeardAt = 0;  ///< Last response of its daemon, or the first poll; 0: never polled.
 			Millis directPolledAt = 0; ///< When the engine itself was last polled.
 			Millis relayFailedAt = 0;  ///< When its daemon last failed to respond as a relay.
@@ -124,7 +124,7 @@
 			std::uint64_t version = 0; ///< Of the map; 0: none.
 			Millis at = 0;
 			double copyMs = 0.0;
-			double stoodMs = 0.0; ///< Observed stall of the group at the boundary.
+			double stallMs = 0.0; ///< Observed stall of the group at the boundary.
 		};
 
 		/// Difference of the map being prepared from a base map, cached per version.
@@ -166,8 +166,8 @@
 		aio::Task<void> waitForRowPoll();
 		void adoptNewerRow(const store::Rows& _rows);
 		/// Releases holds that don't belong to an open switch.
-		/// @param[in] _seenBefore All ranks, as seen before the row was read.
-		void releaseStrays(const std::vector<RankView>& _seenBefore);
+		/// @param[in] _observedBefore All ranks, as seen before the row was read.
+		void releaseStrays(const std::vector<RankView>& _observedBefore);
 		void logWatchFailure(const std::string& _table, const std::string& _reason) const;
 		void end(CoordinatorEnd _why);
 		aio::Task<void> requestDirectReport(std::string _engine);
@@ -181,7 +181,7 @@
 		void adopt(SwitchIntent _intent);
 		void adoptRow(const store::Row& _row);
 		void sendOrders(const std::vector<RankOrderPlan>& _orders);
-		bool takesTooLong(const std::vector<RankView>& _ranks) const;
+		bool phaseTimedOut(const std::vector<RankView>& _ranks) const;
 		bool allReachable() const;
 		std::optional<std::uint32_t> ownRank() const;
 		Millis rowPollIntervalMs() const;
@@ -194,8 +194,8 @@
 		void applyConfiguration(const store::Rows& _rows);
 		void ignoreCrashes(const store::Rows& _rows);
 		/// Records the report of a rank unless a newer one is known.
-		/// @param[in] _seenAt Earliest time at which the report can have been made.
-		void recordReport(Rank& _rank, const EngineReport& _report, Millis _seenAt);
+		/// @param[in] _observedAt Earliest time at which the report can have been made.
+		void recordReport(Rank& _rank, const EngineReport& _report, Millis _observedAt);
 		void logPaceChange(const Rank& _rank, const EngineReport& _engine) const;
 		void recordPass(const EngineReport& _engine);
 		void pollRanks();
@@ -281,7 +281,7 @@
 		std::map<std::string, Rank> ranks;      ///< Of this group, by engine address.
 		std::map<std::string, Rank> nonMembers; ///< Other upstreams of the service; nodes move between the two maps and keep their addresses in memory.
 		std::optional<EngineModel> model;
-		std::map<RankOrderPlan, SentOrder> sent;
+		std::map<RankOrderPlan, SentOrder> sentOrders;
 		std::map<std::string, Branch> branches;      ///< By the relay's engine; "" is the coordinator's own branch.
 		std::map<std::string, std::string> branchOf; ///< Relay of each rank's engine in the last poll.
 		ChoiceWindow window;
--- a/src/group/coordinator_maps.cpp
+++ b/src/group/coordinator_maps.cpp
@@ -21,7 +21,7 @@
 
 	MapCounters::MapCounters(Metrics& _metrics)
 	    : switches(_metrics.counter("archdyke_map_switches_total", "Switches of the group's expert map that came into force"))
-	    , stoodMs(_metrics.counter("archdyke_map_stood_ms_total", "Time that the group was stalled at switch boundaries, ms"))
+	    , stallMs(_metrics.counter("archdyke_map_stood_ms_total", "Time that the group was stalled at switch boundaries, ms"))
 	    , skew(_metrics.gauge("archdyke_map_skew", "By how much the load of the slowest rank exceeds the mean, as a share of the mean"))
 	    , savedMs(_metrics.gauge("archdyke_map_switch_saved_ms", "Service time that the last evaluated switch would save, ms"))
 	    , costMs(_metrics.gauge("archdyke_map_switch_cost_ms", "Service time that the last evaluated switch would cost, ms"))
@@ -77,7 +77,7 @@
 		double known = 0.0;
 		for (const auto& [engine, rank] : this->ranks)
 		{
-			if (0 != rank.seenAt && rank.report.group == this->group)
+			if (0 != rank.observedAt && rank.report.group == this->group)
 			{
 				known += 1.0;
 				result.active += rank.report.active;
@@ -95,8 +95,8 @@
 		const bool atBoundary = this->switchIsOpen() && _before.step < this->intent.boundary && this->intent.boundary <= _now.step;
 		if (atBoundary && this->lastPlanned.version == this->intent.version)
 		{
-			const double usual = this->passMs * double(_now.step - _before.step);
-			this->lastPlanned.stoodMs = std::max(0.0, double(_now.at - _before.at) - usual);
+			const double expectedMs = this->passMs * double(_now.step - _before.step);
+			this->lastPlanned.stallMs = std::max(0.0, double(_now.at - _before.at) - expectedMs);
 		}
 	}
 
@@ -109,10 +109,10 @@
 		if (this->lastPlanned.version == this->intent.inForceVersion)
 		{
 			const double overheadMs = std::max(0.0, double(nowMs() - this->lastPlanned.at) - this->lastPlanned.copyMs);
-			noteSwitch(*this->model, this->switchRecord, {this->lastPlanned.stoodMs, overheadMs}, nowMs());
+			noteSwitch(*this->model, this->switchRecord, {this->lastPlanned.stallMs, overheadMs}, nowMs());
 			this->mapStart = {this->intent.epoch, this->intent.boundary};
 			this->mapCounters.switches.Increment();
-			this->mapCounters.stoodMs.Increment(this->lastPlanned.stoodMs);
+			this->mapCounters.stallMs.Increment(this->lastPlanned.stallMs);
 		}
 		this->lastPlanned = {};
 	}
--- a/src/group/coordinator_orders.cpp
+++ b/src/group/coordinator_orders.cpp
@@ -49,8 +49,8 @@
 		{
 			return std::nullopt;
 		}
-		const bool dealt = 0 == this->intent.inForceVersion;
-		return dealt ? dealtInTurn(std::uint32_t(this->intent.map.size()), std::uint32_t(this->intent.map.front().size()), _ranks) : this->intent.inForce;
+		const bool initial = 0 == this->intent.inForceVersion;
+		return initial ? dealtInTurn(std::uint32_t(this->intent.map.size()), std::uint32_t(this->intent.map.front().size()), _ranks) : this->intent.inForce;
 	}
 
 	const MapDifference* Coordinator::differenceFrom(bool _fromRoundRobin, std::uint64_t _version, std::uint32_t _ranks)
@@ -77,7 +77,7 @@
 		std::vector<Rank*> result;
 		for (auto& [engine, rank] : this->ranks)
 		{
-			if (0 != rank.seenAt && rank.report.group == this->group && rank.report.rank < rank.report.ranks)
+			if (0 != rank.observedAt && rank.report.group == this->group && rank.report.rank < rank.report.ranks)
 			{
 				result.resize(std::max<std::size_t>(result.size(), rank.report.ranks), nullptr);
 				result[rank.report.rank] = &rank;
@@ -95,7 +95,7 @@
 		const bool mapIsGone = RankOrderKind::Prepare == _plan.kind && !map;
 		if (nullptr == target || nullptr == target->direct || mapIsGone)
 		{
-			this->sent.erase(_plan);
+			this->sentOrders.erase(_plan);
 			co_return;
 		}
 		EngineOrder order = orderOf(_plan);
@@ -115,7 +115,7 @@
 
 	void Coordinator::recordOutcome(const RankOrderPlan& _plan, const OrderOutcome& _outcome)
 	{
-		SentOrder& sentOrder = this->sent[_plan];
+		SentOrder& sentOrder = this->sentOrders[_plan];
 		sentOrder.pending = false;
 		sentOrder.accepted = _outcome.accepted;
 		sentOrder.refused = !_outcome.accepted && 0 != _outcome.status;
@@ -134,7 +134,7 @@
 			{
 				for (const RankOrderPlan& plan : _plans)
 				{
-					this->sent.erase(plan); // a version must never be sent with the map of another version
+					this->sentOrders.erase(plan); // a version must never be sent with the map of another version
 				}
 				co_return;
 			}
@@ -192,7 +192,7 @@
 		std::map<Batch, std::vector<RankOrderPlan>> batches;
 		for (const RankOrderPlan& order : _orders)
 		{
-			SentOrder& last = this->sent[order];
+			SentOrder& last = this->sentOrders[order];
 			const Millis wait = last.accepted ? kResendAcceptedMs : kResendMs;
 			const bool due = !last.pending && (0 == last.at || now - last.at >= wait);
 			if (!due || order.rank >= known.size() || nullptr == known[order.rank])
--- a/src/group/coordinator_ranks.cpp
+++ b/src/group/coordinator_ranks.cpp
@@ -53,9 +53,9 @@
 		}
 	}
 
-	void Coordinator::recordReport(Rank& _rank, const EngineReport& _report, Millis _seenAt)
+	void Coordinator::recordReport(Rank& _rank, const EngineReport& _report, Millis _observedAt)
 	{
-		if (_seenAt < _rank.seenAt)
+		if (_observedAt < _rank.observedAt)
 		{
 			return; // older than the known report: it was delayed on its way
 		}
@@ -63,14 +63,14 @@
 		{
 			logInfo("rank_elsewhere", {{"engine", _rank.engineAddress}, {"group", this->group}, {"its_group", _report.group.empty() ? "-" : _report.group}});
 		}
-		const bool stateChanged = _rank.report.view.open != _report.view.open || _rank.report.view.epoch != _report.view.epoch || 0 == _rank.seenAt;
+		const bool stateChanged = _rank.report.view.open != _report.view.open || _rank.report.view.epoch != _report.view.epoch || 0 == _rank.observedAt;
 		if (stateChanged)
 		{
 			logInfo("rank_state", {{"engine", _rank.engineAddress}, {"group", _report.group}, {"rank", _report.rank}, {"epoch", _report.view.epoch}, {"open", _report.view.open}, {"map", _report.view.map}});
 		}
 		this->logPaceChange(_rank, _report);
 		_rank.report = _report;
-		_rank.seenAt = _seenAt;
+		_rank.observedAt = _observedAt;
 		this->assignMembership(_rank);
 		if (_report.group == this->group)
 		{
@@ -111,7 +111,7 @@
 	std::optional<std::uint32_t> Coordinator::ownRank() const
 	{
 		const auto own = this->ranks.find(this->dependencies.settings.upstream);
-		const bool known = this->ranks.end() != own && 0 != own->second.seenAt;
+		const bool known = this->ranks.end() != own && 0 != own->second.observedAt;
 		return known ? std::optional(own->second.report.rank) : std::nullopt;
 	}
 } // namespace archdyke::group
--- a/src/group/coordinator_row.cpp
+++ b/src/group/coordinator_row.cpp
@@ -52,7 +52,7 @@
 	{
 		if (this->intent.phase != _intent.phase || this->intent.boundary != _intent.boundary)
 		{
-			this->sent.clear();
+			this->sentOrders.clear();
 			this->phaseSince = nowMs();
 		}
 		this->intent = std::move(_intent);
@@ -311,9 +311,9 @@
 		}
 	}
 
-	void Coordinator::releaseStrays(const std::vector<RankView>& _seenBefore)
+	void Coordinator::releaseStrays(const std::vector<RankView>& _observedBefore)
 	{
-		for (const RankOrderPlan& order : releaseStrayHolds(this->intent, _seenBefore))
+		for (const RankOrderPlan& order : releaseStrayHolds(this->intent, _observedBefore))
 		{
 			logWarning("stray_hold", {{"group", this->group}, {"rank", order.rank}, {"step", order.step}, {"phase", toString(this->intent.phase)}});
 			this->tasks.add(this->sendDirectly(order).take());
@@ -331,11 +331,11 @@
 			try
 			{
 				// The row is read after the ranks were seen, so a hold that isn't in the row is stray.
-				const std::vector<RankView> seenBefore = this->views(kViewMaxAgeMs);
+				const std::vector<RankView> observedBefore = this->views(kViewMaxAgeMs);
 				const store::Rows rows = co_await this->dependencies.store.read(key.table, key.part, key.key);
 				this->storeLost = false;
 				this->adoptNewerRow(rows);
-				this->releaseStrays(seenBefore);
+				this->releaseStrays(observedBefore);
 			}
 			catch (const kj::Exception& error)
 			{
--- a/src/group/coordinator_search.cpp
+++ b/src/group/coordinator_search.cpp
@@ -78,7 +78,7 @@
 		const Millis now = nowMs();
 		for (const auto& [engine, rank] : this->ranks)
 		{
-			if (now - rank.seenAt <= kViewMaxAgeMs)
+			if (now - rank.observedAt <= kViewMaxAgeMs)
 			{
 				progress.found += 1;
 				progress.ranks = std::max(progress.ranks, rank.report.ranks);
--- a/src/group/coordinator_tree.cpp
+++ b/src/group/coordinator_tree.cpp
@@ -226,7 +226,7 @@
 		Roster roster{this->intent.term, 1, {}};
 		for (const auto& [engine, rank] : this->ranks)
 		{
-			if (0 == rank.seenAt || rank.report.group != this->group || rank.report.rank >= rank.report.ranks)
+			if (0 == rank.observedAt || rank.report.group != this->group || rank.report.rank >= rank.report.ranks)
 			{
 				continue;
 			}
@@ -234,7 +234,7 @@
 			roster.engines.resize(size);
 			news.loads.resize(size, kLoadUnknown);
 			roster.engines[rank.report.rank] = engine;
-			if (now - rank.seenAt > kViewMaxAgeMs)
+			if (now - rank.observedAt > kViewMaxAgeMs)
 			{
 				continue;
 			}
--- a/src/group/fan_out.cpp
+++ b/src/group/fan_out.cpp
@@ -302,7 +302,7 @@
 		co_return snapshot;
 	}
 
-	aio::Task<void> FanOut::sendOrder(std::string _engine, std::size_t _place, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<PendingResponses> _pendingResponses)
+	aio::Task<void> FanOut::sendOrder(std::string _engine, std::size_t _position, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<PendingResponses> _pendingResponses)
 	{
 		const Millis askedAt = nowMs();
 		try
@@ -315,7 +315,7 @@
 			{
 				recordReport(this->childAt(_engine), *outcome.after, askedAt);
 			}
-			_outcome->outcomes[_place] = outcome;
+			_outcome->outcomes[_position] = outcome;
 		}
 		catch (const kj::Exception& error)
 		{
@@ -334,11 +334,11 @@
 		pendingResponses->done = kj::mv(paf.fulfiller);
 		pendingResponses->remaining = order->engines.size();
 		outcome->outcomes.resize(order->engines.size());
-		for (std::size_t place = 0; place < order->engines.size(); ++place)
+		for (std::size_t position = 0; position < order->engines.size(); ++position)
 		{
-			std::string engine = order->engines[place];
+			std::string engine = order->engines[position];
 			this->childAt(engine); // creates the child before any coroutine refers to one
-			this->tasks.add(this->sendOrder(std::move(engine), place, order, outcome, pendingResponses).take());
+			this->tasks.add(this->sendOrder(std::move(engine), position, order, outcome, pendingResponses).take());
 		}
 		co_await this->wait(pendingResponses, kj::mv(paf.promise), order->maxWaitMs);
 		BranchOutcome result = *outcome;
--- a/src/group/fan_out.h
+++ b/src/group/fan_out.h
@@ -71,7 +71,7 @@
 		Child& childAt(const std::string& _engine);
 		void removeUnused();
 		aio::Task<void> observe(std::string _engine, Coordination _coordination, bool _counts, std::shared_ptr<PendingResponses> _pendingResponses);
-		aio::Task<void> sendOrder(std::string _engine, std::size_t _place, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<PendingResponses> _pendingResponses);
+		aio::Task<void> sendOrder(std::string _engine, std::size_t _position, std::shared_ptr<const BranchOrder> _order, std::shared_ptr<BranchOutcome> _outcome, std::shared_ptr<PendingResponses> _pendingResponses);
 		/// Records a report unless the response to a later request has already arrived.
 		static void recordReport(Child& _child, const EngineReport& _report, Millis _askedAt);
 		void recordObservation(Child& _child, Millis _askedAt, const Observation& _observation);
--- a/src/group/rank_rpc.cpp
+++ b/src/group/rank_rpc.cpp
@@ -19,9 +19,9 @@
 		/// @returns The number of bits by which the numbers must be shifted right to fit.
 		unsigned shiftFor(const std::vector<std::uint32_t>& _numbers)
 		{
-			const auto most = std::max_element(_numbers.begin(), _numbers.end());
+			const auto max = std::max_element(_numbers.begin(), _numbers.end());
 			unsigned shift = 0;
-			while (_numbers.end() != most && 0 != *most >> (shift + kChoiceBits))
+			while (_numbers.end() != max && 0 != *max >> (shift + kChoiceBits))
 			{
 				shift += 1;
 			}
@@ -73,7 +73,7 @@
 			return {set, rank, 0 != _packed >> (kExpertBits + kRankBits + kSetBits), expert};
 		}
 
-		bool holds(const std::vector<std::uint32_t>& _experts, std::uint32_t _expert)
+		bool contains(const std::vector<std::uint32_t>& _experts, std::uint32_t _expert)
 		{
 			return _experts.end() != std::find(_experts.begin(), _experts.end(), _expert);
 		}
@@ -82,14 +82,14 @@
 		{
 			for (const std::uint32_t expert : _after)
 			{
-				if (!holds(_before, expert))
+				if (!contains(_before, expert))
 				{
 					_changes.push_back({_set, _rank, true, expert});
 				}
 			}
 			for (const std::uint32_t expert : _before)
 			{
-				if (!holds(_after, expert))
+				if (!contains(_after, expert))
 				{
 					_changes.push_back({_set, _rank, false, expert});
 				}
--- a/src/group/sidecar.cpp
+++ b/src/group/sidecar.cpp
@@ -273,7 +273,7 @@
 					store::ConditionalWrite write{key, encodeIntent(*row), version};
 					const store::WriteResult result = co_await this->tableStore->write(std::move(write));
 					version = result.version;
-					failure = result.written ? "" : "another daemon was first";
+					failure = result.written ? "" : "another daemon wrote the row first";
 				}
 				catch (const kj::Exception& error)
 				{
--- a/tests/group_rig.h
+++ b/tests/group_rig.h
@@ -84,7 +84,7 @@
 	{
 	public:
 		/// One group.
-		/// @param[in] _reportDelayMs Time that each engine takes to answer, by rank.
+		/// @param[in] _reportDelayMs Response time of each engine, by rank, ms.
 		explicit GroupRig(const std::vector<Millis>& _reportDelayMs = std::vector<Millis>(kRanks, 0))
 		    : store(this->directory.path + "/store.log")
 		{
--- a/tests/test_groups.cpp
+++ b/tests/test_groups.cpp
@@ -143,7 +143,7 @@
 	rig.groups[0].sidecars[first]->kill();
 	cr_assert(rig.groups[1].switchesAgain(2, kSwitchMs));
 	cr_assert(!callsByGroup(rig, "killed").contains(""));
-	// A rank without its daemon gets no map, so the group switches only with the daemon back.
+	// The group must also switch maps after the killed daemon has restarted.
 	rig.start(rig.groups[0], first);
 	cr_assert(rig.groups[0].switchesAgain(1, kSwitchMs));
 	for (const RigGroup& group : rig.groups)
