--- a/src/gateway/load_link.cpp
+++ b/src/gateway/load_link.cpp
@@ -86,10 +86,10 @@
 		return _pauseMs / 2 + Millis(randomBelow(this->state.random, std::uint64_t(_pauseMs) + 1));
 	}
 
-	aio::Task<group::NewsAnswer> LoadLink::requestNews(group::RankLink& _source, const group::Roster& _roster, const std::string& _name)
+	aio::Task<group::NewsResponse> LoadLink::requestNews(group::RankLink& _source, const group::Roster& _roster, const std::string& _name)
 	{
 		const group::HeldVersions held{_roster.term, _roster.version, this->storeWatch.versions()};
-		group::NewsQuestion request{_name, held, this->storeWatch.proof()};
+		group::NewsRequest request{_name, held, this->storeWatch.proof()};
 		return _source.news(std::move(request), kPollTimeoutMs);
 	}
 
@@ -109,7 +109,7 @@
 		return anyCold ? "" : this->state.settings.place.name;
 	}
 
-	bool LoadLink::applyNews(const GroupKey& _key, FollowedGroup& _followed, const group::NewsAnswer& _response)
+	bool LoadLink::applyNews(const GroupKey& _key, FollowedGroup& _followed, const group::NewsResponse& _response)
 	{
 		const group::GroupNews& news = _response.bundle.news;
 		if (0 == news.number || kMaxNewsAgeMs < news.ageMs || news.coordination.group != _key.second)
@@ -170,7 +170,7 @@
 		try
 		{
 			const std::string name = followed->failing ? this->nameForSearch() : this->state.settings.place.name;
-			const group::NewsAnswer response = co_await this->requestNews(*followed->source, followed->roster, name);
+			const group::NewsResponse response = co_await this->requestNews(*followed->source, followed->roster, name);
 			failure = this->applyNews(_key, *followed, response) ? "" : "no recent update";
 		}
 		catch (const kj::Exception& error)
@@ -198,7 +198,7 @@
 		try
 		{
 			const group::Roster none;
-			const group::NewsAnswer response = co_await this->requestNews(*link, none, this->nameForSearch());
+			const group::NewsResponse response = co_await this->requestNews(*link, none, this->nameForSearch());
 			const GroupKey key{_service, response.newest.group};
 			std::shared_ptr<FollowedGroup> followed = this->groups.contains(key) ? this->groups.at(key) : std::make_shared<FollowedGroup>();
 			found = this->applyNews(key, *followed, response);
--- a/src/gateway/load_link.h
+++ b/src/gateway/load_link.h
@@ -51,12 +51,12 @@
 		/// Polls a daemon of a group that has no recent report.
 		aio::Task<void> search(std::string _service);
 		/// @param[in] _name Name by which the daemon counts this gateway; empty: it isn't counted.
-		aio::Task<group::NewsAnswer> requestNews(group::RankLink& _source, const group::Roster& _roster, const std::string& _name);
+		aio::Task<group::NewsResponse> requestNews(group::RankLink& _source, const group::Roster& _roster, const std::string& _name);
 		/// @returns The gateway's name to send to a daemon that it may not poll again; empty where it must not be counted.
 		std::string nameForSearch() const;
 		/// Applies a daemon's update if it is recent.
 		/// @returns Whether it is.
-		bool applyNews(const GroupKey& _key, FollowedGroup& _followed, const group::NewsAnswer& _response);
+		bool applyNews(const GroupKey& _key, FollowedGroup& _followed, const group::NewsResponse& _response);
 		/// Drops a daemon that had no recent update; another one is picked for the next poll.
 		void dropSource(const GroupKey& _key, FollowedGroup& _followed, const std::string& _reason);
 		/// @returns The delay with random jitter, so that gateways that failed together don't retry together.
--- a/src/group/rank_link.cpp
+++ b/src/group/rank_link.cpp
@@ -114,16 +114,16 @@
 		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
 
-	aio::Task<NewsAnswer> RankLink::news(NewsQuestion _query, Millis _timeoutMs)
+	aio::Task<NewsResponse> RankLink::news(NewsRequest _query, Millis _timeoutMs)
 	{
 		const std::shared_ptr<Connection> link = co_await this->connect(_timeoutMs);
 		auto request = link->daemon.newsRequest();
 		request.setName(_query.gateway);
 		writeHeld(request.initHeld(), _query.held);
 		writeProof(request.initProof(), _query.proof);
-		kj::Promise<NewsAnswer> answer = request.send().then([](capnp::Response<rpc::RankDaemon::NewsResults>&& _response) {
+		kj::Promise<NewsResponse> answer = request.send().then([](capnp::Response<rpc::RankDaemon::NewsResults>&& _response) {
 			const rpc::RankDaemon::NewsResults::Reader reader = _response;
-			return NewsAnswer{readCoordination(reader.getNewest()), readBundle(reader.getBundle())};
+			return NewsResponse{readCoordination(reader.getNewest()), readBundle(reader.getBundle())};
 		});
 		co_return co_await this->withTimeout(kj::mv(answer), link, _timeoutMs);
 	}
--- a/src/group/rank_link.h
+++ b/src/group/rank_link.h
@@ -20,22 +20,22 @@
 	};
 
 	/// A gateway's request for news.
-	struct NewsQuestion
+	struct NewsRequest
 	{
 		std::string gateway; ///< Its name.
 		HeldVersions held;
 		store::ConfigurationProof proof; ///< The gateway's latest proof.
 
-		bool operator==(const NewsQuestion&) const = default;
+		bool operator==(const NewsRequest&) const = default;
 	};
 
 	/// A daemon's response to a gateway's request for news.
-	struct NewsAnswer
+	struct NewsResponse
 	{
 		Coordination newest; ///< Names the group even if no coordinator was heard.
 		NewsBundle bundle;
 
-		bool operator==(const NewsAnswer&) const = default;
+		bool operator==(const NewsResponse&) const = default;
 	};
 
 	/// A daemon's response to a join request: what it knows of the coordinator.
@@ -60,7 +60,7 @@
 		aio::Task<BranchSnapshot> relay(BranchQuery _query, NewsBundle _bundle, Millis _timeoutMs);
 		aio::Task<OrderOutcome> order(Coordination _coordination, EngineOrder _order, MapDifference _difference, Millis _timeoutMs);
 		aio::Task<BranchOutcome> relayOrders(BranchOrder _order, Millis _timeoutMs);
-		aio::Task<NewsAnswer> news(NewsQuestion _query, Millis _timeoutMs);
+		aio::Task<NewsResponse> news(NewsRequest _query, Millis _timeoutMs);
 		aio::Task<JoinResponse> join(std::string _engine, std::string _group, Millis _timeoutMs);
 
 		const std::string& address() const;
