--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -105,7 +105,7 @@
 mutant gateway-sends-to-evacuated-zones "gatewayevacuation_an_evacuated_zone_gets_nothing_until_it_is_taken_back" src/gateway/board.cpp \
 	'isServing(_upstream) && !_upstream.evacuated' 'isServing(_upstream)'
 mutant gateway-floods-cold-upstreams "gateway_a_cold_upstream_gets_its_share_of_a_flood_and_the_rest_is_refused_at_once" src/gateway/board_limits.cpp \
-	'(!isLimitedCold(_upstream, _now) || maySendCold(_upstream.cold, *_upstream.coldSends, _now))' 'true'
+	'(!isColdLimited(_upstream, _now) || maySendCold(_upstream.cold, *_upstream.coldSends, _now))' 'true'
 mutant gateway-ignores-back-off "gateway_an_upstream_that_asks_to_be_sent_nothing_gets_nothing_for_so_long" src/gateway/board_limits.cpp \
 	'acceptsRequests(_upstream) && !isBackedOff(_upstream, _now);' 'acceptsRequests(_upstream);'
 mutant gateway-ignores-own-leave "gateway_an_upstream_that_says_in_an_answer_that_it_leaves_gets_nothing_new" src/gateway/relay.cpp \
--- a/src/gateway/admit.cpp
+++ b/src/gateway/admit.cpp
@@ -50,7 +50,7 @@
 
 		BatchLoad batchView(const UpstreamGroup& _group, Millis _now)
 		{
-			return {isKnown(_group, _now) ? _group.view.passMs : 0.0, meanLoad(_group, _now)};
+			return {hasFreshReport(_group, _now) ? _group.view.passMs : 0.0, meanLoad(_group, _now)};
 		}
 
 		GroupStatus standingOf(const UpstreamGroup& _group, Millis _gapObjectiveMs, Millis _now)
@@ -59,7 +59,7 @@
 			{
 				return GroupStatus::Down;
 			}
-			if (!isKnown(_group, _now))
+			if (!hasFreshReport(_group, _now))
 			{
 				return GroupStatus::Unknown;
 			}
@@ -71,9 +71,9 @@
 		{
 			GroupCandidate candidate;
 			candidate.standing = standingOf(_group, _request.gapObjectiveMs, _now);
-			candidate.ownZoneShare = double(_group.workingInZone) / double(std::max<std::uint32_t>(1, _group.working));
+			candidate.ownZoneShare = double(_group.availableInZone) / double(std::max<std::uint32_t>(1, _group.availableMembers));
 			candidate.failedRequest = _context.failedInGroups.contains(_group.name);
-			const std::uint32_t members = membersThatMayGet(_group, _now);
+			const std::uint32_t members = countSendableMembers(_group, _now);
 			candidate.hasCapacity = 0 < members;
 			if (nullptr != _engine)
 			{
@@ -92,7 +92,7 @@
 			const BatchRequest request = batchRequest(_context);
 			const Millis now = nowMs();
 			GroupOptions options;
-			options.groups = _context.state.board.groupsOf(_context.service);
+			options.groups = _context.state.registry.groupsOf(_context.service);
 			for (const GroupRef& group : options.groups)
 			{
 				options.candidates.push_back(candidateOf(_context, engine, request, *group, now));
@@ -142,7 +142,7 @@
 			{
 				const UpstreamGroup& group = *_options.groups[index];
 				const GroupCandidate& candidate = _options.candidates[index];
-				logInfo("no_room", {{"request", _context.caller.id}, {"service", _context.service}, {"group", group.name.empty() ? "-" : group.name}, {"standing", toString(candidate.standing)}, {"working", group.working}, {"mean_load", meanLoad(group, now)}, {"fullness", candidate.utilization}, {"pass_ms", group.view.passMs}, {"view_age_ms", now - group.view.at}, {"came_back", isReturningCaller(_context)}});
+				logInfo("no_room", {{"request", _context.caller.id}, {"service", _context.service}, {"group", group.name.empty() ? "-" : group.name}, {"standing", toString(candidate.standing)}, {"working", group.availableMembers}, {"mean_load", meanLoad(group, now)}, {"fullness", candidate.utilization}, {"pass_ms", group.view.passMs}, {"view_age_ms", now - group.view.at}, {"came_back", isReturningCaller(_context)}});
 			}
 		}
 	} // namespace
@@ -163,7 +163,7 @@
 		// The request was admitted before; refusing it now for lack of room would waste the work already done.
 		for (std::size_t index = 0; index < options.groups.size(); ++index)
 		{
-			options.candidates[index].hasCapacity = 0 < membersThatMayGet(*options.groups[index], nowMs());
+			options.candidates[index].hasCapacity = 0 < countSendableMembers(*options.groups[index], nowMs());
 		}
 		return chooseFrom(options, _context.state.random);
 	}
@@ -176,7 +176,7 @@
 		const Millis admitBy = arrivedAt + maxCapacityWaitMs(_context.route->objectiveMs);
 		while (true)
 		{
-			if (state.board.isEvacuated(_context.service))
+			if (state.registry.isEvacuated(_context.service))
 			{
 				co_return refuseNotRun(_context, RefusalCause::Evacuated); // an evacuation outlasts the callers' timeouts
 			}
@@ -195,7 +195,7 @@
 			{
 				co_return refuseNotRun(_context, RefusalCause::GroupDown);
 			}
-			const std::optional<RefusalCause> limitCause = whyNoneMayGet(options.groups, nowMs());
+			const std::optional<RefusalCause> limitCause = refusalCauseOf(options.groups, nowMs());
 			if (limitCause)
 			{
 				co_return refuseNotRun(_context, *limitCause);
--- a/src/gateway/board.cpp
+++ b/src/gateway/board.cpp
@@ -56,36 +56,36 @@
 			std::uint32_t accepting = 0;
 			for (const UpstreamRef& upstream : _group.members)
 			{
-				const bool accepts = wantsRequests(*upstream, _now);
+				const bool accepts = acceptsRequestsNow(*upstream, _now);
 				load += accepts ? loadOf(*upstream, _now) : 0.0;
 				accepting += accepts ? 1 : 0;
 			}
 			return load / double(std::max<std::uint32_t>(1, accepting));
 		}
 		const double own = double(_group.inFlight);
-		const double total = isKnown(_group, _now) ? std::max(own, double(_group.reported) + own - double(_group.ownAtReport)) : own;
-		return total / double(std::max<std::uint32_t>(1, _group.working));
+		const double total = hasFreshReport(_group, _now) ? std::max(own, double(_group.reported) + own - double(_group.ownAtReport)) : own;
+		return total / double(std::max<std::uint32_t>(1, _group.availableMembers));
 	}
 
-	bool isKnown(const UpstreamGroup& _group, Millis _now)
+	bool hasFreshReport(const UpstreamGroup& _group, Millis _now)
 	{
 		return 0 != _group.view.at && _now - _group.view.at <= kMaxReportAgeMs;
 	}
 
 	bool isDown(const UpstreamGroup& _group, Millis _now)
 	{
-		const bool reportedDown = isKnown(_group, _now) && !_group.view.open;
+		const bool reportedDown = hasFreshReport(_group, _now) && !_group.view.open;
 		return reportedDown || _now < _group.view.faultUntil;
 	}
 
-	UpstreamActivity hearingOf(const Upstream& _upstream, Millis _now)
+	UpstreamActivity activityOf(const Upstream& _upstream, Millis _now)
 	{
 		const UpstreamGroup& group = *_upstream.group;
 		const bool hasQueue = 0 < _upstream.record.slots && loadOf(_upstream, _now) > double(_upstream.record.slots);
-		return {_upstream.inFlight, _upstream.silentSince, group.lastActiveAt, isKnown(group, _now) ? group.view.passMs : 0.0, hasQueue};
+		return {_upstream.inFlight, _upstream.silentSince, group.lastActiveAt, hasFreshReport(group, _now) ? group.view.passMs : 0.0, hasQueue};
 	}
 
-	void noteHeard(Upstream& _upstream, Millis _now)
+	void recordActivity(Upstream& _upstream, Millis _now)
 	{
 		_upstream.silentSince = _now;
 		_upstream.group->lastActiveAt = _now;
@@ -101,7 +101,7 @@
 
 	InFlight::~InFlight()
 	{
-		if (isSilent(hearingOf(*this->upstream, nowMs()), nowMs()))
+		if (isSilent(activityOf(*this->upstream, nowMs()), nowMs()))
 		{
 			recordAttempt(this->upstream->health, true, nowMs());
 		}
@@ -109,13 +109,13 @@
 		this->upstream->group->inFlight -= 1;
 	}
 
-	Board::Board(std::string _zone, std::string _gateway)
+	UpstreamRegistry::UpstreamRegistry(std::string _zone, std::string _gateway)
 	    : zone(std::move(_zone))
 	    , gateway(std::move(_gateway))
 	{
 	}
 
-	Board::~Board()
+	UpstreamRegistry::~UpstreamRegistry()
 	{
 		// Breaks the reference cycles between groups and their members.
 		for (const auto& [service, groups] : this->byService)
@@ -127,7 +127,7 @@
 		}
 	}
 
-	void Board::report(const GroupReport& _report, Millis _now)
+	void UpstreamRegistry::report(const GroupReport& _report, Millis _now)
 	{
 		const GroupRef group = this->groupNamed(_report.service, _report.name);
 		if (group->view.open != _report.open || 0 == group->view.at)
@@ -161,30 +161,30 @@
 		}
 	}
 
-	const std::vector<GroupRef>& Board::groupsOf(const std::string& _service) const
+	const std::vector<GroupRef>& UpstreamRegistry::groupsOf(const std::string& _service) const
 	{
 		static const std::vector<GroupRef> kNone;
 		const auto found = this->byService.find(_service);
 		return this->byService.end() == found ? kNone : found->second;
 	}
 
-	UpstreamRef Board::choose(const UpstreamGroup& _group, const std::set<std::string>& _triedBefore, Random& _random, Millis _now) const
+	UpstreamRef UpstreamRegistry::choose(const UpstreamGroup& _group, const std::set<std::string>& _triedBefore, Random& _random, Millis _now) const
 	{
 		std::vector<UpstreamRef> open;
 		std::vector<UpstreamCandidate> candidates;
 		for (const UpstreamRef& upstream : _group.members)
 		{
-			if (mayGet(*upstream, _now))
+			if (maySendTo(*upstream, _now))
 			{
 				open.push_back(upstream);
-				candidates.push_back({loadOf(*upstream, _now), upstream->record.slots, upstream->record.zone == this->zone, isSuspended(upstream->health, _now) || isSilent(hearingOf(*upstream, _now), _now), _triedBefore.contains(upstream->record.incarnation), upstream->health.failureRate, paceOf(*upstream, _now)});
+				candidates.push_back({loadOf(*upstream, _now), upstream->record.slots, upstream->record.zone == this->zone, isSuspended(upstream->health, _now) || isSilent(activityOf(*upstream, _now), _now), _triedBefore.contains(upstream->record.incarnation), upstream->health.failureRate, paceOf(*upstream, _now)});
 			}
 		}
 		const std::optional<std::size_t> chosen = chooseUpstream(candidates, _random);
 		return chosen ? open[*chosen] : nullptr;
 	}
 
-	UpstreamRef Board::pickPreferringOwnZone(const std::vector<UpstreamRef>& _upstreams, Random& _random) const
+	UpstreamRef UpstreamRegistry::pickPreferringOwnZone(const std::vector<UpstreamRef>& _upstreams, Random& _random) const
 	{
 		std::vector<UpstreamRef> near;
 		std::copy_if(_upstreams.begin(), _upstreams.end(), std::back_inserter(near), [&](const UpstreamRef& _upstream) {
@@ -195,7 +195,7 @@
 		return from.empty() ? nullptr : from[randomBelow(_random, from.size())];
 	}
 
-	UpstreamRef Board::pickGroupMember(const std::string& _service, const std::string& _group, Random& _random) const
+	UpstreamRef UpstreamRegistry::pickGroupMember(const std::string& _service, const std::string& _group, Random& _random) const
 	{
 		for (const GroupRef& group : this->groupsOf(_service))
 		{
@@ -207,12 +207,12 @@
 		return nullptr;
 	}
 
-	UpstreamRef Board::pickUnreportedUpstream(const std::string& _service, Random& _random, Millis _now) const
+	UpstreamRef UpstreamRegistry::pickUnreportedUpstream(const std::string& _service, Random& _random, Millis _now) const
 	{
 		std::vector<UpstreamRef> unreported;
 		for (const GroupRef& group : this->groupsOf(_service))
 		{
-			if (!isKnown(*group, _now))
+			if (!hasFreshReport(*group, _now))
 			{
 				unreported.insert(unreported.end(), group->members.begin(), group->members.end());
 			}
@@ -220,7 +220,7 @@
 		return this->pickPreferringOwnZone(unreported, _random);
 	}
 
-	std::vector<GroupRef> Board::allGroups() const
+	std::vector<GroupRef> UpstreamRegistry::allGroups() const
 	{
 		std::vector<GroupRef> result;
 		for (const auto& [service, groups] : this->byService)
@@ -230,12 +230,12 @@
 		return result;
 	}
 
-	std::size_t Board::addresses() const
+	std::size_t UpstreamRegistry::addresses() const
 	{
 		return this->byAddress.size();
 	}
 
-	std::vector<UpstreamRef> Board::all() const
+	std::vector<UpstreamRef> UpstreamRegistry::all() const
 	{
 		std::vector<UpstreamRef> result;
 		for (const auto& [incarnation, upstream] : this->byIncarnation)
@@ -245,12 +245,12 @@
 		return result;
 	}
 
-	bool Board::isListed(const std::string& _incarnation) const
+	bool UpstreamRegistry::isListed(const std::string& _incarnation) const
 	{
 		return nullptr != this->findUpstream(_incarnation);
 	}
 
-	std::vector<std::string> Board::incarnations() const
+	std::vector<std::string> UpstreamRegistry::incarnations() const
 	{
 		std::vector<std::string> result;
 		for (const auto& [incarnation, upstream] : this->byIncarnation)
@@ -264,7 +264,7 @@
 		return result;
 	}
 
-	GroupRef Board::groupNamed(const std::string& _service, const std::string& _name)
+	GroupRef UpstreamRegistry::groupNamed(const std::string& _service, const std::string& _name)
 	{
 		std::vector<GroupRef>& groups = this->byService[_service];
 		const auto found = std::find_if(groups.begin(), groups.end(), [&](const GroupRef& _group) {
@@ -280,7 +280,7 @@
 		return groups.back();
 	}
 
-	void Board::addToGroup(const UpstreamRef& _upstream, const GroupRef& _group)
+	void UpstreamRegistry::addToGroup(const UpstreamRef& _upstream, const GroupRef& _group)
 	{
 		_upstream->group = _group;
 		_group->members.push_back(_upstream);
@@ -290,14 +290,14 @@
 		this->updateCounts(*_group);
 	}
 
-	void Board::moveToGroup(const UpstreamRef& _upstream, const std::string& _service, const std::string& _name)
+	void UpstreamRegistry::moveToGroup(const UpstreamRef& _upstream, const std::string& _service, const std::string& _name)
 	{
 		_upstream->group->inFlight -= _upstream->inFlight;
 		this->removeFromGroup(_upstream);
 		this->addToGroup(_upstream, this->groupNamed(_service, _name));
 	}
 
-	void Board::removeFromGroup(const UpstreamRef& _upstream)
+	void UpstreamRegistry::removeFromGroup(const UpstreamRef& _upstream)
 	{
 		const GroupRef group = _upstream->group;
 		std::erase(group->members, _upstream);
@@ -308,17 +308,17 @@
 		}
 	}
 
-	void Board::updateCounts(UpstreamGroup& _group) const
+	void UpstreamRegistry::updateCounts(UpstreamGroup& _group) const
 	{
-		_group.working = 0;
-		_group.workingInZone = 0;
+		_group.availableMembers = 0;
+		_group.availableInZone = 0;
 		_group.evacuated = 0;
 		for (const UpstreamRef& upstream : _group.members)
 		{
 			const bool works = acceptsRequests(*upstream);
-			_group.working += works ? 1 : 0;
+			_group.availableMembers += works ? 1 : 0;
 			_group.evacuated += upstream->evacuated ? 1 : 0;
-			_group.workingInZone += works && upstream->record.zone == this->zone ? 1 : 0;
+			_group.availableInZone += works && upstream->record.zone == this->zone ? 1 : 0;
 		}
 	}
 } // namespace archdyke::gateway
--- a/src/gateway/board.h
+++ b/src/gateway/board.h
@@ -77,15 +77,15 @@
 		std::string name;
 		GroupView view;
 		std::vector<UpstreamRef> members;
-		std::uint32_t working = 0;       ///< Members that accept requests.
-		std::uint32_t workingInZone = 0; ///< Of these, those in the gateway's zone.
-		std::uint32_t evacuated = 0;     ///< Members whose zone is evacuated.
-		std::uint32_t inFlight = 0;      ///< Requests of this gateway in flight at its members.
-		std::uint32_t reported = 0;      ///< Requests of all gateways there, by the last report.
-		std::uint32_t ownAtReport = 0;   ///< Requests of this gateway there at that time.
-		Millis lastActiveAt = 0;         ///< When data last arrived from any member.
-		Millis coldUntil = 0;            ///< No member is cold after this time.
-		Millis backOffUntil = 0;         ///< No member asks this gateway to back off after this time.
+		std::uint32_t availableMembers = 0; ///< Members that accept requests.
+		std::uint32_t availableInZone = 0;  ///< Of these, those in the gateway's zone.
+		std::uint32_t evacuated = 0;        ///< Members whose zone is evacuated.
+		std::uint32_t inFlight = 0;         ///< Requests of this gateway in flight at its members.
+		std::uint32_t reported = 0;         ///< Requests of all gateways there, by the last report.
+		std::uint32_t ownAtReport = 0;      ///< Requests of this gateway there at that time.
+		Millis lastActiveAt = 0;            ///< When data last arrived from any member.
+		Millis coldUntil = 0;               ///< No member is cold after this time.
+		Millis backOffUntil = 0;            ///< No member asks this gateway to back off after this time.
 	};
 
 	/// Report of a coordinator about its group.
@@ -118,25 +118,25 @@
 	bool acceptsRequests(const Upstream& _upstream);
 
 	/// @returns Whether an upstream is cold and its service limits the requests to cold upstreams.
-	bool isLimitedCold(const Upstream& _upstream, Millis _now);
+	bool isColdLimited(const Upstream& _upstream, Millis _now);
 
 	/// @returns Whether an upstream has asked this gateway to back off and that time isn't over.
 	bool isBackedOff(const Upstream& _upstream, Millis _now);
 
 	/// @returns Whether an upstream accepts requests and hasn't asked this gateway to back off. Ignores limits for
 	/// cold upstreams.
-	bool wantsRequests(const Upstream& _upstream, Millis _now);
+	bool acceptsRequestsNow(const Upstream& _upstream, Millis _now);
 
 	/// @returns Whether this gateway may send a request to an upstream now.
-	bool mayGet(const Upstream& _upstream, Millis _now);
+	bool maySendTo(const Upstream& _upstream, Millis _now);
 
 	/// @returns Number of members of a group that this gateway may send to now.
-	std::uint32_t membersThatMayGet(const UpstreamGroup& _group, Millis _now);
+	std::uint32_t countSendableMembers(const UpstreamGroup& _group, Millis _now);
 
 	/// @returns Why this gateway may send to no upstream of the groups that aren't down, although some accept
 	/// requests: the limits of cold upstreams are reached, or all upstreams asked it to back off. None when it may
 	/// send to one, or when no upstream accepts requests at all.
-	std::optional<RefusalCause> whyNoneMayGet(const std::vector<GroupRef>& _groups, Millis _now);
+	std::optional<RefusalCause> refusalCauseOf(const std::vector<GroupRef>& _groups, Millis _now);
 
 	/// @returns Requests at an upstream: the reported number, corrected by what this gateway has sent and finished
 	/// since. Without a recent report, the number that this gateway has in flight there.
@@ -147,19 +147,19 @@
 	double meanLoad(const UpstreamGroup& _group, Millis _now);
 
 	/// @returns Whether the last report of a group is recent.
-	bool isKnown(const UpstreamGroup& _group, Millis _now);
+	bool hasFreshReport(const UpstreamGroup& _group, Millis _now);
 
 	/// @returns Whether a group is stalled, is forming, or has just failed a request.
 	bool isDown(const UpstreamGroup& _group, Millis _now);
 
 	/// @returns When an upstream and its group were last active, for the detection of silent upstreams.
-	UpstreamActivity hearingOf(const Upstream& _upstream, Millis _now);
+	UpstreamActivity activityOf(const Upstream& _upstream, Millis _now);
 
 	/// @returns Step time of an upstream relative to the declared one, at least 1; 1 without a recent report.
 	double paceOf(const Upstream& _upstream, Millis _now);
 
 	/// Records that data arrived from an upstream.
-	void noteHeard(Upstream& _upstream, Millis _now);
+	void recordActivity(Upstream& _upstream, Millis _now);
 
 	/// Scope guard that counts a request of this gateway as in flight at an upstream. A request that ends while the
 	/// upstream is silent counts as a failure of the upstream: its caller has left without a response.
@@ -177,15 +177,15 @@
 
 	/// All listed upstreams by incarnation, and their groups. The cost of a request grows with the number of groups of
 	/// its service and the ranks of one group, not with the total number of upstreams.
-	class Board
+	class UpstreamRegistry
 	{
 	public:
 		/// @param[in] _zone Zone of this gateway.
 		/// @param[in] _gateway Name of this gateway.
-		explicit Board(std::string _zone, std::string _gateway = "");
-		~Board();
-		Board(const Board&) = delete;
-		Board& operator=(const Board&) = delete;
+		explicit UpstreamRegistry(std::string _zone, std::string _gateway = "");
+		~UpstreamRegistry();
+		UpstreamRegistry(const UpstreamRegistry&) = delete;
+		UpstreamRegistry& operator=(const UpstreamRegistry&) = delete;
 
 		/// Adds or updates an upstream from its row; rows must be passed in the order in which they were written. A leaving
 		/// incarnation stays leaving. Of several incarnations at one address only the last one gets requests,
@@ -196,8 +196,8 @@
 
 		/// Records that an upstream asked in a response to be sent nothing for some time, or said that it leaves. Both
 		/// remain valid without its row and its entry here: rows expire while the store is unreachable and come back.
-		void takeBackOff(const UpstreamRef& _upstream, Millis _askedMs, Millis _now);
-		void takeLeaving(const UpstreamRef& _upstream, Millis _now);
+		void applyBackOff(const UpstreamRef& _upstream, Millis _askedMs, Millis _now);
+		void recordLeaving(const UpstreamRef& _upstream, Millis _now);
 
 		/// @returns Time until the first back-off of a service's upstreams ends, ms; none when one of them accepts requests
 		/// without a back-off, or when none accepts requests.
--- a/src/gateway/board_cold.cpp
+++ b/src/gateway/board_cold.cpp
@@ -7,18 +7,18 @@
 
 namespace archdyke::gateway
 {
-	bool isLimitedCold(const Upstream& _upstream, Millis _now)
+	bool isColdLimited(const Upstream& _upstream, Millis _now)
 	{
 		return _upstream.coldSends && 0 < remainingColdMs(_upstream.cold, _now);
 	}
 
-	void Board::markCold(const UpstreamRef& _upstream, Millis _durationMs, Millis _now)
+	void UpstreamRegistry::markCold(const UpstreamRef& _upstream, Millis _durationMs, Millis _now)
 	{
 		if (_durationMs <= 0)
 		{
 			return;
 		}
-		const bool wasLimited = isLimitedCold(*_upstream, _now);
+		const bool wasLimited = isColdLimited(*_upstream, _now);
 		recordCold(_upstream->cold, _durationMs, _now);
 		_upstream->group->coldUntil = std::max(_upstream->group->coldUntil, _upstream->cold.until);
 		if (!wasLimited && _upstream->coldSends)
@@ -27,7 +27,7 @@
 		}
 	}
 
-	void Board::expireCold(Millis _now)
+	void UpstreamRegistry::expireCold(Millis _now)
 	{
 		for (const auto& [incarnation, upstream] : this->byIncarnation)
 		{
@@ -43,7 +43,7 @@
 		}
 	}
 
-	void Board::setColdTerms(const std::string& _service, const std::optional<ColdCapacity>& _terms)
+	void UpstreamRegistry::setColdTerms(const std::string& _service, const std::optional<ColdCapacity>& _terms)
 	{
 		const auto current = this->coldLimits.find(_service);
 		const bool same = this->coldLimits.end() == current ? !_terms : _terms && current->second.terms == *_terms;
@@ -65,7 +65,7 @@
 		}
 	}
 
-	std::vector<std::string> Board::servicesWithColdTerms() const
+	std::vector<std::string> UpstreamRegistry::servicesWithColdTerms() const
 	{
 		std::vector<std::string> result;
 		for (const auto& [service, limits] : this->coldLimits)
@@ -75,7 +75,7 @@
 		return result;
 	}
 
-	void Board::updateColdSends(Upstream& _upstream) const
+	void UpstreamRegistry::updateColdSends(Upstream& _upstream) const
 	{
 		const auto limits = this->coldLimits.find(_upstream.record.service);
 		_upstream.coldSends.reset();
@@ -85,14 +85,14 @@
 		}
 	}
 
-	std::optional<Millis> Board::nextWarmMs(const std::string& _service, Millis _now) const
+	std::optional<Millis> UpstreamRegistry::nextWarmMs(const std::string& _service, Millis _now) const
 	{
 		std::optional<Millis> minMs;
 		for (const GroupRef& group : this->groupsOf(_service))
 		{
 			for (const UpstreamRef& upstream : group->members)
 			{
-				if (acceptsRequests(*upstream) && isLimitedCold(*upstream, _now))
+				if (acceptsRequests(*upstream) && isColdLimited(*upstream, _now))
 				{
 					const Millis left = remainingColdMs(upstream->cold, _now);
 					minMs = std::min(minMs.value_or(left), left);
--- a/src/gateway/board_limits.cpp
+++ b/src/gateway/board_limits.cpp
@@ -12,7 +12,7 @@
 		return 0 < remainingBackOffMs(_upstream.selfReport.backOff, _now);
 	}
 
-	bool wantsRequests(const Upstream& _upstream, Millis _now)
+	bool acceptsRequestsNow(const Upstream& _upstream, Millis _now)
 	{
 		// An upstream that rejects requests says for how long to back off; a request sent earlier only wastes an
 		// attempt. Without this check a gateway sent three more within one back-off of 3 s and refused two of their callers
@@ -20,23 +20,23 @@
 		return acceptsRequests(_upstream) && !isBackedOff(_upstream, _now);
 	}
 
-	bool mayGet(const Upstream& _upstream, Millis _now)
+	bool maySendTo(const Upstream& _upstream, Millis _now)
 	{
-		return wantsRequests(_upstream, _now) && (!isLimitedCold(_upstream, _now) || maySendCold(_upstream.cold, *_upstream.coldSends, _now));
+		return acceptsRequestsNow(_upstream, _now) && (!isColdLimited(_upstream, _now) || maySendCold(_upstream.cold, *_upstream.coldSends, _now));
 	}
 
-	std::uint32_t membersThatMayGet(const UpstreamGroup& _group, Millis _now)
+	std::uint32_t countSendableMembers(const UpstreamGroup& _group, Millis _now)
 	{
 		if (_group.coldUntil <= _now && _group.backOffUntil <= _now)
 		{
-			return _group.working;
+			return _group.availableMembers;
 		}
 		return std::uint32_t(std::count_if(_group.members.begin(), _group.members.end(), [&](const UpstreamRef& _upstream) {
-			return mayGet(*_upstream, _now);
+			return maySendTo(*_upstream, _now);
 		}));
 	}
 
-	std::optional<RefusalCause> whyNoneMayGet(const std::vector<GroupRef>& _groups, Millis _now)
+	std::optional<RefusalCause> refusalCauseOf(const std::vector<GroupRef>& _groups, Millis _now)
 	{
 		bool anyBackedOff = false;
 		bool anyCold = false;
@@ -46,14 +46,14 @@
 			{
 				continue;
 			}
-			if (0 < membersThatMayGet(*group, _now))
+			if (0 < countSendableMembers(*group, _now))
 			{
 				return std::nullopt;
 			}
 			for (const UpstreamRef& upstream : group->members)
 			{
 				anyBackedOff = anyBackedOff || (acceptsRequests(*upstream) && isBackedOff(*upstream, _now));
-				anyCold = anyCold || wantsRequests(*upstream, _now); // not sendable, so its limit for cold upstreams is reached
+				anyCold = anyCold || acceptsRequestsNow(*upstream, _now); // not sendable, so its limit for cold upstreams is reached
 			}
 		}
 		if (anyCold)
@@ -63,7 +63,7 @@
 		return anyBackedOff ? std::optional(RefusalCause::BackOff) : std::nullopt;
 	}
 
-	void Board::takeBackOff(const UpstreamRef& _upstream, Millis _askedMs, Millis _now)
+	void UpstreamRegistry::applyBackOff(const UpstreamRef& _upstream, Millis _askedMs, Millis _now)
 	{
 		if (recordBackOff(_upstream->selfReport.backOff, _askedMs, _now))
 		{
@@ -72,7 +72,7 @@
 		this->applySelfReport(_upstream, _now);
 	}
 
-	void Board::takeLeaving(const UpstreamRef& _upstream, Millis _now)
+	void UpstreamRegistry::recordLeaving(const UpstreamRef& _upstream, Millis _now)
 	{
 		if (_upstream->selfReport.leaving)
 		{
@@ -85,7 +85,7 @@
 		this->applySelfReport(_upstream, _now);
 	}
 
-	void Board::applySelfReport(const UpstreamRef& _upstream, Millis _now)
+	void UpstreamRegistry::applySelfReport(const UpstreamRef& _upstream, Millis _now)
 	{
 		UpstreamRef upstream = this->findUpstream(_upstream->record.incarnation);
 		if (nullptr == upstream)
@@ -109,7 +109,7 @@
 		}
 	}
 
-	void Board::retainSelfReport(const Upstream& _upstream, Millis _now)
+	void UpstreamRegistry::retainSelfReport(const Upstream& _upstream, Millis _now)
 	{
 		/// Time for which an upstream's leaving state is retained, ms: leaving upstreams go on serving for some ten seconds.
 		constexpr Millis kLeavingRetentionMs = 120'000;
@@ -124,7 +124,7 @@
 		}
 	}
 
-	SelfReport Board::retainedSelfReport(const UpstreamRecord& _record, Millis _now) const
+	SelfReport UpstreamRegistry::retainedSelfReport(const UpstreamRecord& _record, Millis _now) const
 	{
 		const auto kept = this->retainedReports.find(_record.incarnation);
 		if (this->retainedReports.end() == kept || kept->second.until <= _now)
@@ -138,7 +138,7 @@
 		return report;
 	}
 
-	std::optional<Millis> Board::backOffEndsInMs(const std::string& _service, Millis _now) const
+	std::optional<Millis> UpstreamRegistry::backOffEndsInMs(const std::string& _service, Millis _now) const
 	{
 		std::optional<Millis> minMs;
 		for (const GroupRef& group : this->groupsOf(_service))
--- a/src/gateway/board_rows.cpp
+++ b/src/gateway/board_rows.cpp
@@ -18,7 +18,7 @@
 		}
 	} // namespace
 
-	UpstreamRef Board::findUpstream(const std::string& _incarnation) const
+	UpstreamRef UpstreamRegistry::findUpstream(const std::string& _incarnation) const
 	{
 		const auto listed = this->byIncarnation.find(_incarnation);
 		if (this->byIncarnation.end() != listed)
@@ -29,19 +29,19 @@
 		return this->inactive.end() == kept ? nullptr : kept->second;
 	}
 
-	bool Board::isNewerRun(const UpstreamRecord& _record) const
+	bool UpstreamRegistry::isNewerRun(const UpstreamRecord& _record) const
 	{
 		const UpstreamRef before = this->findUpstream(_record.incarnation);
 		return nullptr != before && 0 != before->record.startedAt && before->record.startedAt < _record.startedAt;
 	}
 
-	bool Board::isEarlierRun(const UpstreamRecord& _record) const
+	bool UpstreamRegistry::isEarlierRun(const UpstreamRecord& _record) const
 	{
 		const UpstreamRef before = this->findUpstream(_record.incarnation);
 		return nullptr != before && 0 != _record.startedAt && _record.startedAt < before->record.startedAt;
 	}
 
-	UpstreamRef Board::activate(const UpstreamRecord& _record, Millis _now)
+	UpstreamRef UpstreamRegistry::activate(const UpstreamRecord& _record, Millis _now)
 	{
 		UpstreamRef& upstream = this->byIncarnation[_record.incarnation];
 		const auto kept = this->inactive.find(_record.incarnation);
@@ -61,7 +61,7 @@
 		return upstream;
 	}
 
-	void Board::assignAddress(const UpstreamRef& _upstream)
+	void UpstreamRegistry::assignAddress(const UpstreamRef& _upstream)
 	{
 		UpstreamRef& holder = this->byAddress[_upstream->record.address];
 		if (nullptr != holder && holder != _upstream && !holder->superseded)
@@ -79,7 +79,7 @@
 		}
 	}
 
-	void Board::applyRecord(const UpstreamRef& _upstream, const UpstreamRecord& _record)
+	void UpstreamRegistry::applyRecord(const UpstreamRef& _upstream, const UpstreamRecord& _record)
 	{
 		if (_upstream->record.service != _record.service || _upstream->record.address != _record.address)
 		{
@@ -93,7 +93,7 @@
 		this->assignAddress(_upstream);
 	}
 
-	void Board::learn(const UpstreamRecord& _record, Millis _now, Millis _defaultColdMs)
+	void UpstreamRegistry::learn(const UpstreamRecord& _record, Millis _now, Millis _defaultColdMs)
 	{
 		if (this->isEarlierRun(_record))
 		{
@@ -127,7 +127,7 @@
 		}
 	}
 
-	void Board::forget(const std::string& _incarnation, Millis _now)
+	void UpstreamRegistry::forget(const std::string& _incarnation, Millis _now)
 	{
 		const UpstreamRef upstream = this->findUpstream(_incarnation);
 		if (nullptr == upstream)
@@ -141,7 +141,7 @@
 		this->inactive.erase(_incarnation);
 	}
 
-	void Board::deactivate(const std::string& _incarnation)
+	void UpstreamRegistry::deactivate(const std::string& _incarnation)
 	{
 		const auto found = this->byIncarnation.find(_incarnation);
 		if (this->byIncarnation.end() == found)
@@ -155,14 +155,14 @@
 		this->inactive[_incarnation] = upstream;
 	}
 
-	void Board::unlist(const UpstreamRef& _upstream)
+	void UpstreamRegistry::unlist(const UpstreamRef& _upstream)
 	{
 		this->removeFromGroup(_upstream);
 		this->byIncarnation.erase(_upstream->record.incarnation);
 		this->releaseAddress(_upstream, _upstream->record.address);
 	}
 
-	void Board::relocate(const UpstreamRef& _upstream, const UpstreamRecord& _record)
+	void UpstreamRegistry::relocate(const UpstreamRef& _upstream, const UpstreamRecord& _record)
 	{
 		const std::string before = _upstream->record.address;
 		logInfo("upstream_moved", {{"incarnation", _record.incarnation}, {"service", _record.service}, {"address", _record.address}, {"service_before", _upstream->record.service}, {"address_before", before}});
@@ -176,7 +176,7 @@
 		}
 	}
 
-	void Board::releaseAddress(const UpstreamRef& _upstream, const std::string& _address)
+	void UpstreamRegistry::releaseAddress(const UpstreamRef& _upstream, const std::string& _address)
 	{
 		const auto holder = this->byAddress.find(_address);
 		if (this->byAddress.end() != holder && holder->second == _upstream)
@@ -186,7 +186,7 @@
 		this->restoreSuperseded(_address);
 	}
 
-	void Board::restoreSuperseded(const std::string& _address)
+	void UpstreamRegistry::restoreSuperseded(const std::string& _address)
 	{
 		if (this->byAddress.contains(_address))
 		{
--- a/src/gateway/board_zones.cpp
+++ b/src/gateway/board_zones.cpp
@@ -5,7 +5,7 @@
 
 namespace archdyke::gateway
 {
-	void Board::setEvacuated(const std::string& _zone, bool _evacuated)
+	void UpstreamRegistry::setEvacuated(const std::string& _zone, bool _evacuated)
 	{
 		for (const auto& [incarnation, upstream] : this->byIncarnation)
 		{
@@ -20,20 +20,20 @@
 		}
 	}
 
-	void Board::evacuate(const std::string& _zone)
+	void UpstreamRegistry::evacuate(const std::string& _zone)
 	{
 		this->evacuatedZones.insert(_zone);
 		this->setEvacuated(_zone, true);
 	}
 
-	void Board::endEvacuation(const std::string& _zone, Millis _now)
+	void UpstreamRegistry::endEvacuation(const std::string& _zone, Millis _now)
 	{
 		this->evacuatedZones.erase(_zone);
 		this->setEvacuated(_zone, false);
 		this->markZoneCold(_zone, _now);
 	}
 
-	void Board::markZoneCold(const std::string& _zone, Millis _now)
+	void UpstreamRegistry::markZoneCold(const std::string& _zone, Millis _now)
 	{
 		for (const auto& [incarnation, upstream] : this->byIncarnation)
 		{
@@ -45,11 +45,11 @@
 		}
 	}
 
-	bool Board::isEvacuated(const std::string& _service) const
+	bool UpstreamRegistry::isEvacuated(const std::string& _service) const
 	{
 		const std::vector<GroupRef>& groups = this->groupsOf(_service);
 		const bool anyAvailable = std::any_of(groups.begin(), groups.end(), [](const GroupRef& _group) {
-			return 0 < _group->working;
+			return 0 < _group->availableMembers;
 		});
 		return !anyAvailable && std::any_of(groups.begin(), groups.end(), [](const GroupRef& _group) {
 			return std::any_of(_group->members.begin(), _group->members.end(), [](const UpstreamRef& _upstream) {
--- a/src/gateway/codec.h
+++ b/src/gateway/codec.h
@@ -30,8 +30,8 @@
 		std::optional<Millis> patienceMs;         ///< How long the caller waits for the response.
 		std::optional<std::uint64_t> resumeAfter; ///< Number of the last event that the caller has received.
 		std::uint32_t promptTokens = 0;
-		std::uint32_t answerTokens = 0;           ///< Maximum length of the response; 0 when unknown.
-		std::optional<std::uint32_t> answerGuess; ///< The caller's estimate; right in the median, but often far off.
+		std::uint32_t maxResponseTokens = 0;                 ///< Maximum length of the response; 0 when unknown.
+		std::optional<std::uint32_t> expectedResponseTokens; ///< The caller's estimate; right in the median, but often far off.
 		std::vector<PromptPart> prompt;
 
 		bool operator==(const CallerRequest&) const = default;
@@ -50,19 +50,19 @@
 	};
 
 	/// Fields of the head of an upstream's response.
-	struct AnswerInfo
+	struct ResponseInfo
 	{
 		std::string requestId; ///< The request that it responds to.
 		bool signedByUpstream = false;
 		bool provedNotRun = false; ///< The upstream states that it did not run the request.
 		bool wrongIncarnation = false;
-		bool encoded = false;            ///< The body has a content encoding that wasn't requested.
-		std::optional<Millis> restMs;    ///< How long the upstream keeps the idle connection open.
-		std::string upstreamAtFault;     ///< The group member that caused the failure; may be empty.
-		bool leaving = false;            ///< The upstream states that it is shutting down.
-		std::optional<Millis> backOffMs; ///< How long the upstream asks this gateway to send it nothing.
+		bool encoded = false;              ///< The body has a content encoding that wasn't requested.
+		std::optional<Millis> keepAliveMs; ///< How long the upstream keeps the idle connection open.
+		std::string faultyMember;          ///< The group member that caused the failure; may be empty.
+		bool leaving = false;              ///< The upstream states that it is shutting down.
+		std::optional<Millis> backOffMs;   ///< How long the upstream asks this gateway to send it nothing.
 
-		bool operator==(const AnswerInfo&) const = default;
+		bool operator==(const ResponseInfo&) const = default;
 	};
 
 	/// A refusal that the gateway itself sends.
@@ -80,8 +80,8 @@
 	{
 		CallerRequest (*decodeRequest)(const http::RequestHead&);
 		http::RequestHead (*encodeDispatch)(const http::RequestHead&, const CallerRequest&, const DispatchInfo&);
-		AnswerInfo (*decodeAnswer)(const http::ResponseHead&);
-		http::ResponseHead (*encodeAnswer)(const http::ResponseHead&);
+		ResponseInfo (*decodeResponse)(const http::ResponseHead&);
+		http::ResponseHead (*encodeResponse)(const http::ResponseHead&);
 		http::ResponseHead (*encodeRefusal)(const CallerRequest&, const Refusal&);
 	};
 } // namespace archdyke::gateway
--- a/src/gateway/cold_limits.cpp
+++ b/src/gateway/cold_limits.cpp
@@ -12,7 +12,7 @@
 			}
 			const Bounds& bounds = _state.settings.bounds;
 			const double declaredRate = _service.cold->requestsPerS;
-			const std::uint32_t gateways = estimateGatewayCount(_state.resendShare, _state.board.addresses(), bounds.retryWindowMs, _now);
+			const std::uint32_t gateways = estimateGatewayCount(_state.resendShare, _state.registry.addresses(), bounds.retryWindowMs, _now);
 			return ColdCapacity{declaredRate, declaredRate * bounds.coldOvershoot + bounds.coldAllowance, gateways, _service.cold->coldMs};
 		}
 	} // namespace
@@ -25,14 +25,14 @@
 		}
 		for (const CatalogService& service : _state.catalog->catalog.services)
 		{
-			_state.board.setColdTerms(service.name, coldTermsOf(_state, service, _now));
+			_state.registry.setColdTerms(service.name, coldTermsOf(_state, service, _now));
 		}
 		// A service that was removed from the configuration has no limits any more.
-		for (const std::string& service : _state.board.servicesWithColdTerms())
+		for (const std::string& service : _state.registry.servicesWithColdTerms())
 		{
 			if (nullptr == findService(*_state.catalog, service))
 			{
-				_state.board.setColdTerms(service, std::nullopt);
+				_state.registry.setColdTerms(service, std::nullopt);
 			}
 		}
 	}
--- a/src/gateway/counters.cpp
+++ b/src/gateway/counters.cpp
@@ -23,7 +23,7 @@
 
 	GatewayCounters::GatewayCounters(Metrics& _metrics)
 	    : totalSeconds(_metrics.seconds("archdyke_gateway_request_seconds", "Time from the request's head to the end of its response"))
-	    , firstSeconds(_metrics.seconds("archdyke_gateway_first_event_seconds", "Time from the request's head to the first event of a stream"))
+	    , firstEventSeconds(_metrics.seconds("archdyke_gateway_first_event_seconds", "Time from the request's head to the first event of a stream"))
 	    , sends(_metrics.counter("archdyke_gateway_sends_total", "Requests sent to an upstream for the first time"))
 	    , resends(_metrics.counter("archdyke_gateway_resends_total", "Requests sent again, to another upstream"))
 	    , coldSends(_metrics.counter("archdyke_gateway_cold_sends_total", "Requests sent to a cold upstream, first sends and resends"))
--- a/src/gateway/counters.h
+++ b/src/gateway/counters.h
@@ -31,7 +31,7 @@
 
 		std::array<prometheus::Counter*, std::size_t(Ending::Count)> requests{};
 		prometheus::Histogram& totalSeconds;
-		prometheus::Histogram& firstSeconds;
+		prometheus::Histogram& firstEventSeconds;
 		prometheus::Counter& sends;
 		prometheus::Counter& resends;
 		prometheus::Counter& coldSends;
--- a/src/gateway/crashes.cpp
+++ b/src/gateway/crashes.cpp
@@ -70,7 +70,7 @@
 		}
 	} // namespace
 
-	aio::Task<void> noteBrokenTry(RequestContext& _context, UpstreamRef _upstream)
+	aio::Task<void> recordBrokenAttempt(RequestContext& _context, UpstreamRef _upstream)
 	{
 		GatewayState& state = _context.state;
 		const Millis now = nowMs();
@@ -98,7 +98,7 @@
 		std::erase_if(record.brokenAttempts, [&](const BrokenAttempt& _attempt) {
 			const auto check = record.checks.find(_attempt.crash.incarnation);
 			const bool ended = record.checks.end() != check && check->second.ended.value_or(false);
-			const bool gone = _attempt.upstream->superseded || !_state.board.isListed(_attempt.crash.incarnation);
+			const bool gone = _attempt.upstream->superseded || !_state.registry.isListed(_attempt.crash.incarnation);
 			const bool crashed = ended || (gone && !_attempt.upstream->leavingSince);
 			// A request that has completed meanwhile didn't cause the crash.
 			if (crashed && !completedRecently(record.runs, _attempt.runHash, _now))
@@ -109,7 +109,7 @@
 		});
 	}
 
-	void noteWholeRun(RequestContext& _context)
+	void recordCompletedRun(RequestContext& _context)
 	{
 		CrashRecord& record = _context.state.crashes;
 		recordCompletion(record.runs, hashOf(_context), nowMs());
--- a/src/gateway/crashes.h
+++ b/src/gateway/crashes.h
@@ -49,14 +49,14 @@
 	/// Records that a connection broke while its upstream had a request, and checks whether the upstream has ended. If so,
 	/// the crash is attributed to the request. Waits for the result only where it decides whether the request may be
 	/// resent.
-	aio::Task<void> noteBrokenTry(RequestContext& _context, UpstreamRef _upstream);
+	aio::Task<void> recordBrokenAttempt(RequestContext& _context, UpstreamRef _upstream);
 
 	/// Attributes crashes to the requests of broken attempts whose upstreams have ended, or were removed soon after without
 	/// having announced that they leave.
 	void resolveBrokenAttempts(GatewayState& _state, Millis _now);
 
 	/// Records that an upstream completed a request, and clears the crashes that were attributed to the request.
-	void noteWholeRun(RequestContext& _context);
+	void recordCompletedRun(RequestContext& _context);
 
 	/// @returns How much longer a request is refused because several upstreams crashed under it, ms; none when it may run.
 	std::optional<Millis> crashRefusalMs(RequestContext& _context);
--- a/src/gateway/dispatch.cpp
+++ b/src/gateway/dispatch.cpp
@@ -25,7 +25,7 @@
 		/// Records that an upstream was chosen for an attempt.
 		void recordChoice(RequestContext& _context, Upstream& _upstream)
 		{
-			if (isLimitedCold(_upstream, nowMs()))
+			if (isColdLimited(_upstream, nowMs()))
 			{
 				recordColdSend(_upstream.cold, nowMs());
 				_context.state.counters.coldSends.Increment();
@@ -80,17 +80,17 @@
 			{
 				_context.group = chooseGroupForRetry(_context);
 			}
-			return nullptr == _context.group ? nullptr : state.board.choose(*_context.group, _context.tried, state.random, nowMs());
+			return nullptr == _context.group ? nullptr : state.registry.choose(*_context.group, _context.tried, state.random, nowMs());
 		}
 
 		/// @returns Why no upstream was found for an attempt.
 		RefusalCause whyNoUpstream(const RequestContext& _context)
 		{
-			if (_context.state.board.isEvacuated(_context.service))
+			if (_context.state.registry.isEvacuated(_context.service))
 			{
 				return RefusalCause::Evacuated;
 			}
-			return whyNoneMayGet(_context.state.board.groupsOf(_context.service), nowMs()).value_or(RefusalCause::NoUpstream);
+			return refusalCauseOf(_context.state.registry.groupsOf(_context.service), nowMs()).value_or(RefusalCause::NoUpstream);
 		}
 
 		/// Makes further attempts prefer another group, because the ranks of a group stall together.
@@ -118,7 +118,7 @@
 			if (RefusalReason::WrongIncarnation == _result.refusal)
 			{
 				// Another process has the address, so this incarnation has ended even if the store still lists it.
-				_context.state.board.forget(_upstream.record.incarnation, nowMs());
+				_context.state.registry.forget(_upstream.record.incarnation, nowMs());
 			}
 			if (_result.groupFault)
 			{
@@ -129,7 +129,7 @@
 		/// @returns Why a request is refused after its last attempt failed.
 		RefusalCause whyRetriesEnded(const RequestContext& _context)
 		{
-			return whyNoneMayGet(_context.state.board.groupsOf(_context.service), nowMs()).value_or(RefusalCause::Overloaded);
+			return refusalCauseOf(_context.state.registry.groupsOf(_context.service), nowMs()).value_or(RefusalCause::Overloaded);
 		}
 	} // namespace
 
@@ -186,11 +186,11 @@
 			recordHealth(*upstream, result);
 			if (result.connectionLost)
 			{
-				co_await noteBrokenTry(_context, upstream);
+				co_await recordBrokenAttempt(_context, upstream);
 			}
 			if (result.answered)
 			{
-				noteWholeRun(_context);
+				recordCompletedRun(_context);
 				_context.ending = Ending::Answered;
 				co_return std::nullopt;
 			}
@@ -207,7 +207,7 @@
 			}
 			if (result.failure)
 			{
-				noteWholeRun(_context);
+				recordCompletedRun(_context);
 				_context.ending = Ending::Answered;
 				co_await forwardResponse(_context, *result.failure);
 				co_return std::nullopt;
--- a/src/gateway/gateway_process.cpp
+++ b/src/gateway/gateway_process.cpp
@@ -124,9 +124,9 @@
 			{
 				nlohmann::json groups = nlohmann::json::array();
 				const Millis now = nowMs();
-				for (const GroupRef& group : this->state.board.allGroups())
+				for (const GroupRef& group : this->state.registry.allGroups())
 				{
-					groups.push_back({{"service", group->service}, {"group", group->name}, {"known", isKnown(*group, now)}, {"down", isDown(*group, now)}, {"passMs", group->view.passMs}, {"members", group->members.size()}, {"working", group->working}, {"meanLoad", meanLoad(*group, now)}, {"inFlight", group->inFlight}, {"mayGet", membersThatMayGet(*group, now)}});
+					groups.push_back({{"service", group->service}, {"group", group->name}, {"known", hasFreshReport(*group, now)}, {"down", isDown(*group, now)}, {"passMs", group->view.passMs}, {"members", group->members.size()}, {"working", group->availableMembers}, {"meanLoad", meanLoad(*group, now)}, {"inFlight", group->inFlight}, {"mayGet", countSendableMembers(*group, now)}});
 				}
 				return groups;
 			}
@@ -146,7 +146,7 @@
 			{
 				nlohmann::json upstreams = nlohmann::json::array();
 				const Millis now = nowMs();
-				for (const UpstreamRef& upstream : this->state.board.all())
+				for (const UpstreamRef& upstream : this->state.registry.all())
 				{
 					upstreams.push_back({{"incarnation", upstream->record.incarnation}, {"service", upstream->record.service}, {"group", upstream->group->name}, {"address", upstream->record.address}, {"zone", upstream->record.zone}, {"leaving", upstream->leavingSince.has_value()}, {"evacuated", upstream->evacuated}, {"inFlight", upstream->inFlight}, {"load", loadOf(*upstream, now)}, {"failureRate", upstream->health.failureRate}, {"suspended", isSuspended(upstream->health, now)}, {"quietMs", 0 == upstream->inFlight ? 0 : now - upstream->silentSince}, {"backOffMs", remainingBackOffMs(upstream->selfReport.backOff, now)}, {"warmInMs", remainingColdMs(upstream->cold, now)}, {"coldSends", upstream->coldSends ? int(*upstream->coldSends) : -1}});
 				}
@@ -179,7 +179,7 @@
 			GatewayState state;
 			std::unique_ptr<store::TableStore> tableStore;
 			StoreWatch watch;
-			LoadLink loads;
+			LoadPoller loads;
 			CallerServer callers;
 			http::Listener readiness;
 			http::Listener admin;
--- a/src/gateway/load_link.cpp
+++ b/src/gateway/load_link.cpp
@@ -65,7 +65,7 @@
 		}
 	} // namespace
 
-	LoadLink::LoadLink(GatewayState& _state, StoreWatch& _watch)
+	LoadPoller::LoadPoller(GatewayState& _state, StoreWatch& _watch)
 	    : state(_state)
 	    , storeWatch(_watch)
 	    , errors(kj::heap<TaskErrors>())
@@ -76,24 +76,24 @@
 		});
 	}
 
-	std::string LoadLink::daemonAddressOf(const Upstream& _upstream) const
+	std::string LoadPoller::daemonAddressOf(const Upstream& _upstream) const
 	{
 		return ipOf(_upstream.record.address) + ":" + std::to_string(this->state.settings.place.peerPort);
 	}
 
-	Millis LoadLink::withJitter(Millis _pauseMs)
+	Millis LoadPoller::withJitter(Millis _pauseMs)
 	{
 		return _pauseMs / 2 + Millis(randomBelow(this->state.random, std::uint64_t(_pauseMs) + 1));
 	}
 
-	aio::Task<group::NewsResponse> LoadLink::requestNews(group::RankLink& _source, const group::Roster& _roster, const std::string& _name)
+	aio::Task<group::NewsResponse> LoadPoller::requestNews(group::RankLink& _source, const group::Roster& _roster, const std::string& _name)
 	{
 		const group::HeldVersions held{_roster.term, _roster.version, this->storeWatch.versions()};
 		group::NewsRequest request{_name, held, this->storeWatch.proof()};
 		return _source.news(std::move(request), kPollTimeoutMs);
 	}
 
-	std::string LoadLink::nameForSearch() const
+	std::string LoadPoller::nameForSearch() const
 	{
 		// Each daemon that is polled counts this gateway. In a search that would inflate the number of gateways and shrink
 		// their shares of cold upstreams, so no name is sent where these have limits. Smaller shares of resends do no
@@ -109,7 +109,7 @@
 		return anyCold ? "" : this->state.settings.place.name;
 	}
 
-	bool LoadLink::applyNews(const GroupKey& _key, FollowedGroup& _followed, const group::NewsResponse& _response)
+	bool LoadPoller::applyNews(const GroupKey& _key, FollowedGroup& _followed, const group::NewsResponse& _response)
 	{
 		const group::GroupNews& news = _response.bundle.news;
 		if (0 == news.number || kMaxNewsAgeMs < news.ageMs || news.coordination.group != _key.second)
@@ -129,7 +129,7 @@
 		this->storeWatch.applyUpdate({news.proof, _response.bundle.tables, news.gateways});
 		if (_followed.roster.term == news.rosterTerm && _followed.roster.version == news.rosterVersion)
 		{
-			this->state.board.report(reportOf(_key.first, _followed.roster, news), now);
+			this->state.registry.report(reportOf(_key.first, _followed.roster, news), now);
 		}
 		if (_followed.failing)
 		{
@@ -139,7 +139,7 @@
 		return true;
 	}
 
-	void LoadLink::dropSource(const GroupKey& _key, FollowedGroup& _followed, const std::string& _reason)
+	void LoadPoller::dropSource(const GroupKey& _key, FollowedGroup& _followed, const std::string& _reason)
 	{
 		if (!_followed.failing)
 		{
@@ -151,14 +151,14 @@
 		_followed.pauseMs = std::min(kMaxRetryMs, 2 * _followed.pauseMs);
 	}
 
-	aio::Task<void> LoadLink::pollGroup(GroupKey _key)
+	aio::Task<void> LoadPoller::pollGroup(GroupKey _key)
 	{
 		const std::shared_ptr<FollowedGroup> followed = this->groups.at(_key);
 		followed->isPolling = true;
 		followed->nextPollAt = nowMs() + kPollIntervalMs;
 		if (nullptr == followed->source)
 		{
-			const UpstreamRef upstream = this->state.board.pickGroupMember(_key.first, _key.second, this->state.random);
+			const UpstreamRef upstream = this->state.registry.pickGroupMember(_key.first, _key.second, this->state.random);
 			if (nullptr == upstream)
 			{
 				this->groups.erase(_key); // none of its ranks is listed; a search finds the group again
@@ -184,9 +184,9 @@
 		}
 	}
 
-	aio::Task<void> LoadLink::search(std::string _service)
+	aio::Task<void> LoadPoller::search(std::string _service)
 	{
-		const UpstreamRef upstream = this->state.board.pickUnreportedUpstream(_service, this->state.random, nowMs());
+		const UpstreamRef upstream = this->state.registry.pickUnreportedUpstream(_service, this->state.random, nowMs());
 		if (nullptr == upstream)
 		{
 			co_return;
@@ -223,7 +223,7 @@
 		search.nextAt = nowMs() + this->withJitter(search.pauseMs);
 	}
 
-	void LoadLink::pollGroups(const std::string& _service)
+	void LoadPoller::pollGroups(const std::string& _service)
 	{
 		const Millis now = nowMs();
 		std::vector<GroupKey> due;
@@ -246,16 +246,16 @@
 		}
 	}
 
-	void LoadLink::pollAnyGroup()
+	void LoadPoller::pollAnyGroup()
 	{
-		const std::vector<UpstreamRef> upstreams = this->state.board.all();
+		const std::vector<UpstreamRef> upstreams = this->state.registry.all();
 		if (!upstreams.empty())
 		{
 			this->pollGroups(upstreams[randomBelow(this->state.random, upstreams.size())]->record.service);
 		}
 	}
 
-	aio::Task<void> LoadLink::watch()
+	aio::Task<void> LoadPoller::watch()
 	{
 		while (true)
 		{
--- a/src/gateway/load_link.h
+++ b/src/gateway/load_link.h
@@ -12,11 +12,11 @@
 namespace archdyke::gateway
 {
 	/// Runs from its construction to its destruction.
-	class LoadLink
+	class LoadPoller
 	{
 	public:
 		/// @param[in] _watch Receives the coordinators' updates of the store.
-		LoadLink(GatewayState& _state, StoreWatch& _watch);
+		LoadPoller(GatewayState& _state, StoreWatch& _watch);
 
 	private:
 		/// A group that is polled.
--- a/src/gateway/relay.cpp
+++ b/src/gateway/relay.cpp
@@ -80,14 +80,14 @@
 		}
 
 		/// Reads an unsuccessful response, which may prove that the request didn't run.
-		aio::Task<AttemptResult> classifyFailure(RequestContext& _context, http::HttpConnection& _upstream, http::ResponseHead _head, AnswerInfo _info)
+		aio::Task<AttemptResult> classifyFailure(RequestContext& _context, http::HttpConnection& _upstream, http::ResponseHead _head, ResponseInfo _info)
 		{
 			const std::optional<std::string> body = co_await readBody(_context, _upstream);
 			const std::string reason = fmt::format("upstream_status_{}", _head.status);
 			if (_info.provedNotRun)
 			{
 				AttemptResult refused = failed(ExecutionProof::NotRun, reason, _info.wrongIncarnation ? RefusalReason::WrongIncarnation : RefusalReason::Overloaded);
-				refused.groupFault = !_info.wrongIncarnation && !_info.upstreamAtFault.empty();
+				refused.groupFault = !_info.wrongIncarnation && !_info.faultyMember.empty();
 				co_return refused;
 			}
 			AttemptResult result = failed(ExecutionProof::Ran, reason);
@@ -99,16 +99,16 @@
 		}
 
 		/// Applies what a response head states about the upstream itself, also when the response belongs to another request.
-		void recordSelfReport(RequestContext& _context, const AnswerInfo& _info)
+		void recordSelfReport(RequestContext& _context, const ResponseInfo& _info)
 		{
 			if (_info.leaving && !_info.wrongIncarnation)
 			{
-				_context.state.board.takeLeaving(_context.currentUpstream, nowMs());
+				_context.state.registry.recordLeaving(_context.currentUpstream, nowMs());
 			}
 			if (_info.backOffMs)
 			{
 				_context.state.counters.backOffAsks.Increment();
-				_context.state.board.takeBackOff(_context.currentUpstream, *_info.backOffMs, nowMs());
+				_context.state.registry.applyBackOff(_context.currentUpstream, *_info.backOffMs, nowMs());
 			}
 		}
 
@@ -122,7 +122,7 @@
 				{
 					co_return std::nullopt;
 				}
-				const AnswerInfo info = _context.state.codec.decodeAnswer(part.response);
+				const ResponseInfo info = _context.state.codec.decodeResponse(part.response);
 				recordSelfReport(_context, info);
 				if (info.requestId == _context.caller.id)
 				{
@@ -137,7 +137,7 @@
 			}
 		}
 
-		aio::Task<AttemptResult> relayBody(RequestContext& _context, http::HttpConnection& _upstream, http::ResponseHead _head, AnswerInfo _info)
+		aio::Task<AttemptResult> relayBody(RequestContext& _context, http::HttpConnection& _upstream, http::ResponseHead _head, ResponseInfo _info)
 		{
 			if (!isSuccess(_head.status))
 			{
@@ -172,11 +172,11 @@
 			{
 				co_return failed(ExecutionProof::Unknown, "no_answer_head");
 			}
-			const AnswerInfo info = _context.state.codec.decodeAnswer(*head);
+			const ResponseInfo info = _context.state.codec.decodeResponse(*head);
 			AttemptResult result = co_await relayBody(_context, upstream, *head, info);
 			if (head->keepAlive)
 			{
-				result.keepIdleMs = info.restMs.value_or(kDefaultIdleMs) - kIdleMarginMs;
+				result.keepIdleMs = info.keepAliveMs.value_or(kDefaultIdleMs) - kIdleMarginMs;
 			}
 			co_return result;
 		}
@@ -192,7 +192,7 @@
 		{
 			const Upstream& upstream = *_context.currentUpstream;
 			GatewayState& state = _context.state;
-			const double passMs = isKnown(*upstream.group, _now) ? upstream.group->view.passMs : 0.0;
+			const double passMs = hasFreshReport(*upstream.group, _now) ? upstream.group->view.passMs : 0.0;
 			return shouldAbandonSlow({paceOf(upstream, _now), passMs, _context.route->gapObjectiveMs}) && hasSpareResend(state.retries[_context.service], retryBounds(state), _now);
 		}
 
@@ -209,7 +209,7 @@
 				const Millis now = nowMs();
 				// Without resend budget a stream that leaves its upstream would be cut, although the upstream may recover.
 				const bool wanted = movable && !_context.writingToCaller && _context.sends < _context.route->maxAttempts && hasResendBudget(_context);
-				if (wanted && shouldAbandonSilent(hearingOf(*_context.currentUpstream, now), now - _context.lastHeardAt, now))
+				if (wanted && shouldAbandonSilent(activityOf(*_context.currentUpstream, now), now - _context.lastHeardAt, now))
 				{
 					co_return failed(ExecutionProof::Unknown, "upstream_silent");
 				}
@@ -263,14 +263,14 @@
 		if (http::PartKind::Head == part.kind || http::PartKind::Body == part.kind || http::PartKind::End == part.kind)
 		{
 			_context.lastHeardAt = nowMs();
-			noteHeard(*_context.currentUpstream, _context.lastHeardAt);
+			recordActivity(*_context.currentUpstream, _context.lastHeardAt);
 		}
 		co_return part;
 	}
 
 	http::ResponseHead beginResponse(RequestContext& _context, const http::ResponseHead& _response)
 	{
-		http::ResponseHead head = _context.state.codec.encodeAnswer(_response);
+		http::ResponseHead head = _context.state.codec.encodeResponse(_response);
 		head.keepAlive = _context.keepAlive && !_context.state.leaving;
 		_context.keepAlive = head.keepAlive;
 		_context.headSent = true;
@@ -297,7 +297,7 @@
 			recordSend(_context);
 			co_return failed(ExecutionProof::NotRun, "connect_failed: " + connectError);
 		}
-		if (!wantsRequests(*_upstream, nowMs()))
+		if (!acceptsRequestsNow(*_upstream, nowMs()))
 		{
 			// The upstream asked for no more requests while this one waited for its connection, for up to 400 ms.
 			// Without this check all waiting requests of a burst would still be sent there.
--- a/src/gateway/relay_stream.cpp
+++ b/src/gateway/relay_stream.cpp
@@ -29,7 +29,7 @@
 			if (!_context.firstEventAt)
 			{
 				_context.firstEventAt = now;
-				_context.state.counters.firstSeconds.Observe(double(now - _context.received.arrivedAt) / 1'000.0);
+				_context.state.counters.firstEventSeconds.Observe(double(now - _context.received.arrivedAt) / 1'000.0);
 			}
 			else
 			{
--- a/src/gateway/request.cpp
+++ b/src/gateway/request.cpp
@@ -209,12 +209,12 @@
 		}
 		if (RefusalCause::BackOff == _cause)
 		{
-			retryInMs = _context.state.board.backOffEndsInMs(_context.service, now);
+			retryInMs = _context.state.registry.backOffEndsInMs(_context.service, now);
 			_context.state.counters.backOffRefusals.Increment();
 		}
 		if (RefusalCause::ColdUpstreams == _cause)
 		{
-			retryInMs = _context.state.board.nextWarmMs(_context.service, now);
+			retryInMs = _context.state.registry.nextWarmMs(_context.service, now);
 			_context.state.counters.coldRefusals.Increment();
 		}
 		if (RefusalCause::CrashesUpstreams == _cause)
--- a/src/gateway/state.h
+++ b/src/gateway/state.h
@@ -33,7 +33,7 @@
 		Codec codec;
 		http::LoopContext loop;
 		GatewayCounters& counters;
-		Board board;
+		UpstreamRegistry registry;
 		http::ConnectionPool pool;
 		Random random;
 		std::shared_ptr<const CatalogIndex> catalog; ///< Null until the first configuration is known.
@@ -51,7 +51,7 @@
 		    , codec(_codec)
 		    , loop(_loop)
 		    , counters(_counters)
-		    , board(this->settings.place.zone, this->settings.place.name)
+		    , registry(this->settings.place.zone, this->settings.place.name)
 		    , pool(_loop)
 		    , random(_seed)
 		{
--- a/src/gateway/watch_rows.cpp
+++ b/src/gateway/watch_rows.cpp
@@ -66,11 +66,11 @@
 			logInfo(change.evacuated ? "zone_evacuated" : "zone_taken_back", {{"zone", change.zone}, {"row_version", change.version}, {"whole_read", _whole}});
 			if (change.evacuated)
 			{
-				this->state.board.evacuate(change.zone);
+				this->state.registry.evacuate(change.zone);
 			}
 			else
 			{
-				this->state.board.endEvacuation(change.zone, nowMs());
+				this->state.registry.endEvacuation(change.zone, nowMs());
 			}
 		}
 		this->state.counters.evacuatedZones.Set(double(evacuatedZones(this->state.operators).size()));
@@ -105,7 +105,7 @@
 			}
 			return;
 		}
-		this->state.board.forget(_incarnation, now);
+		this->state.registry.forget(_incarnation, now);
 	}
 
 	void StoreWatch::removeUnlisted(const store::Rows& _rows)
@@ -115,7 +115,7 @@
 		{
 			named.insert(row.key.key);
 		}
-		for (const std::string& incarnation : this->state.board.incarnations())
+		for (const std::string& incarnation : this->state.registry.incarnations())
 		{
 			if (!named.contains(incarnation))
 			{
@@ -161,7 +161,7 @@
 	void StoreWatch::learn(const Listing& _listing)
 	{
 		const UpstreamRecord& record = _listing.record;
-		this->state.board.learn(record, nowMs(), _listing.afterFirstList ? coldAfterStartMs(this->state, record.service) : 0);
+		this->state.registry.learn(record, nowMs(), _listing.afterFirstList ? coldAfterStartMs(this->state, record.service) : 0);
 	}
 
 	void StoreWatch::applyUpstreamRow(const store::Row& _row, bool _afterFirstList)
@@ -195,7 +195,7 @@
 			}
 		}
 		this->state.counters.unusableRows.Increment();
-		this->state.board.deactivate(incarnation);
+		this->state.registry.deactivate(incarnation);
 	}
 
 	void StoreWatch::admitConfiguredUpstreams()
@@ -204,7 +204,7 @@
 		{
 			if (!this->hasConfiguredService(listing.record))
 			{
-				this->state.board.deactivate(incarnation);
+				this->state.registry.deactivate(incarnation);
 				this->withoutService.insert_or_assign(incarnation, std::move(listing));
 			}
 		}
@@ -250,7 +250,7 @@
 			co_await this->state.loop.timer.afterDelay(kExpiryCheckIntervalMs * kj::MILLISECONDS);
 			const Millis now = nowMs();
 			refreshColdLimits(this->state, now);
-			this->state.board.expireCold(now);
+			this->state.registry.expireCold(now);
 			resolveBrokenAttempts(this->state, now);
 			this->crashPublisher.step();
 			for (auto it = this->pendingRemoval.begin(); this->pendingRemoval.end() != it;)
@@ -260,7 +260,7 @@
 					++it;
 					continue;
 				}
-				this->state.board.forget(it->first, now);
+				this->state.registry.forget(it->first, now);
 				it = this->pendingRemoval.erase(it);
 			}
 		}
--- a/src/gateway/watch_start.cpp
+++ b/src/gateway/watch_start.cpp
@@ -63,7 +63,7 @@
 		const auto mayGetUpdate = [&] {
 			return 0 != this->lastUpdateAt || this->emptyUpdates < kMaxEmptyUpdates || (first && nowMs() - begunAt < kFirstStartMinPeerQueryMs);
 		};
-		while (nowMs() < until && mayGetUpdate() && !hasTables() && !this->state.board.all().empty())
+		while (nowMs() < until && mayGetUpdate() && !hasTables() && !this->state.registry.all().empty())
 		{
 			co_await this->state.loop.timer.afterDelay(kPeerQueryPollMs * kj::MILLISECONDS);
 		}
--- a/tests/board_rig.h
+++ b/tests/board_rig.h
@@ -38,7 +38,7 @@
 	}
 
 	/// @returns The group with a name; null when there is none.
-	inline gateway::GroupRef groupNamed(const gateway::Board& _registry, const std::string& _name)
+	inline gateway::GroupRef groupNamed(const gateway::UpstreamRegistry& _registry, const std::string& _name)
 	{
 		for (const gateway::GroupRef& group : _registry.groupsOf(kService))
 		{
@@ -51,14 +51,14 @@
 	}
 
 	/// @returns The incarnation chosen for a request to a group that isn't empty.
-	inline std::string chosenIncarnation(const gateway::Board& _registry, const std::string& _group, Millis _now)
+	inline std::string chosenIncarnation(const gateway::UpstreamRegistry& _registry, const std::string& _group, Millis _now)
 	{
 		Random random(1);
 		return _registry.choose(*groupNamed(_registry, _group), {}, random, _now)->record.incarnation;
 	}
 
 	/// @returns The upstream of an incarnation; null when it isn't listed.
-	inline gateway::UpstreamRef upstreamNamed(const gateway::Board& _registry, const std::string& _incarnation)
+	inline gateway::UpstreamRef upstreamNamed(const gateway::UpstreamRegistry& _registry, const std::string& _incarnation)
 	{
 		for (const gateway::UpstreamRef& upstream : _registry.all())
 		{
--- a/tests/test_board.cpp
+++ b/tests/test_board.cpp
@@ -7,14 +7,14 @@
 
 Test(board, upstreams_move_to_the_group_that_reports_them)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
 	registry.learn(recordOf("c", "3", "there"), 0);
 	cr_assert(3 == groupNamed(registry, "")->members.size());
 	registry.report(reportOf("g", {"1", "3"}), 10);
 	cr_assert(2 == groupNamed(registry, "g")->members.size() && 1 == groupNamed(registry, "")->members.size());
-	cr_assert(1 == groupNamed(registry, "g")->workingInZone);
+	cr_assert(1 == groupNamed(registry, "g")->availableInZone);
 	// A renamed group is a new one; the old one is removed with its last member.
 	registry.report(reportOf("h", {"1", "3"}), 20);
 	cr_assert(nullptr == groupNamed(registry, "g") && 2 == groupNamed(registry, "h")->members.size());
@@ -22,7 +22,7 @@
 
 Test(board, a_groups_load_is_the_reported_one_plus_what_was_sent_since)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
 	registry.report(reportOf("g", {"1", "2"}, 3), 10);
@@ -40,7 +40,7 @@
 
 Test(board, a_request_in_flight_moves_with_its_upstream)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	{
 		const InFlight request(groupNamed(registry, "")->members[0], 0);
@@ -52,21 +52,21 @@
 
 Test(board, a_group_is_down_when_its_coordinator_or_an_upstream_says_so)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	GroupReport report = reportOf("g", {"1"});
 	report.open = false;
 	registry.report(report, 10);
 	const GroupRef group = groupNamed(registry, "g");
 	cr_assert(isDown(*group, 20));
-	cr_assert(!isDown(*group, 10'000) && !isKnown(*group, 10'000));
+	cr_assert(!isDown(*group, 10'000) && !hasFreshReport(*group, 10'000));
 	group->view.faultUntil = 10'100;
 	cr_assert(isDown(*group, 10'000));
 }
 
 Test(board, only_upstreams_of_unreported_groups_are_searched)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	Random random(1);
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
@@ -82,7 +82,7 @@
 
 Test(board, a_silent_upstream_is_avoided_while_others_respond)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	Random random(1);
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
@@ -90,19 +90,19 @@
 	const UpstreamRef silent = group->members[0];
 	const UpstreamRef other = group->members[1];
 	const InFlight unanswered(silent, 1'000);
-	noteHeard(*other, 1'900);
+	recordActivity(*other, 1'900);
 	for (int draw = 0; draw < 20; ++draw)
 	{
 		cr_assert(other == registry.choose(*group, {}, random, 2'000));
 	}
 	// When the whole group is silent, its ranks wait for each other, and none of them counts as silent.
-	noteHeard(*silent, 1'950);
-	cr_assert(!isSilent(hearingOf(*silent, 4'000), 4'000));
+	recordActivity(*silent, 1'950);
+	cr_assert(!isSilent(activityOf(*silent, 4'000), 4'000));
 }
 
 Test(board, an_evacuated_zone_gets_no_requests_until_the_evacuation_ends)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.setColdTerms(kService, ColdCapacity{18.0, 32.0, 1, 3'000});
 	Random random(1);
 	registry.learn(recordOf("a", "1"), 0);
@@ -110,7 +110,7 @@
 	registry.evacuate("here");
 	registry.learn(recordOf("c", "3"), 0); // learned during the evacuation
 	const GroupRef group = groupNamed(registry, "");
-	cr_assert(1 == group->working && 0 == group->workingInZone);
+	cr_assert(1 == group->availableMembers && 0 == group->availableInZone);
 	for (int draw = 0; draw < 20; ++draw)
 	{
 		cr_assert("b" == registry.choose(*group, {}, random, 10)->record.incarnation);
@@ -119,7 +119,7 @@
 	cr_assert(4.0 == meanLoad(*groupNamed(registry, "g"), 10), "only members that accept requests count");
 	cr_assert(!registry.isEvacuated(kService));
 	registry.endEvacuation("here", 700);
-	cr_assert(1 == groupNamed(registry, "")->working && 2 == groupNamed(registry, "g")->working);
+	cr_assert(1 == groupNamed(registry, "")->availableMembers && 2 == groupNamed(registry, "g")->availableMembers);
 	for (const UpstreamRef& upstream : registry.all())
 	{
 		cr_assert(("there" == upstream->record.zone ? 0 : 3'000) == remainingColdMs(upstream->cold, 700), "they may have become cold meanwhile");
@@ -128,7 +128,7 @@
 
 Test(board, a_service_is_evacuated_when_only_evacuation_makes_its_upstreams_unavailable)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	cr_assert(!registry.isEvacuated(kService));
 	registry.learn(recordOf("a", "1"), 0);
 	UpstreamRecord leaving = recordOf("b", "2", "there");
@@ -145,7 +145,7 @@
 
 Test(board, requests_in_an_evacuated_zone_dont_count_in_the_mean_load)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2", "there"), 0);
 	registry.report(reportOf("g", {"1", "2"}, 4), 10);
--- a/tests/test_board_limits.cpp
+++ b/tests/test_board_limits.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 	/// @returns How often each upstream of the service's only group was chosen in 100 choices.
-	std::map<std::string, int> choices(const Board& _registry, Millis _now)
+	std::map<std::string, int> choices(const UpstreamRegistry& _registry, Millis _now)
 	{
 		std::map<std::string, int> result;
 		Random random(3);
@@ -26,23 +26,23 @@
 
 Test(board, an_upstream_that_asked_to_back_off_isnt_chosen_until_that_time_is_over)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
-	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 100);
+	registry.applyBackOff(upstreamNamed(registry, "a"), 3'000, 100);
 	cr_assert(100 == choices(registry, 101)["b"]);
-	cr_assert(1 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 101) && !whyNoneMayGet(registry.groupsOf(kService), 101));
+	cr_assert(1 == countSendableMembers(*upstreamNamed(registry, "a")->group, 101) && !refusalCauseOf(registry.groupsOf(kService), 101));
 	cr_assert(!registry.backOffEndsInMs(kService, 101), "another one accepts requests");
-	cr_assert(0 < choices(registry, 3'100)["a"] && 2 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 3'100));
+	cr_assert(0 < choices(registry, 3'100)["a"] && 2 == countSendableMembers(*upstreamNamed(registry, "a")->group, 3'100));
 }
 
 /// Not even when all other upstreams fail or were tried already: it would reject the request at once.
 Test(board, a_backed_off_upstream_is_no_last_resort)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
-	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 100);
+	registry.applyBackOff(upstreamNamed(registry, "a"), 3'000, 100);
 	Random random(3);
 	cr_assert(nullptr == registry.choose(*upstreamNamed(registry, "a")->group, {"b"}, random, 101));
 	for (int failure = 0; failure < 5; ++failure)
@@ -54,56 +54,56 @@
 
 Test(board, when_all_back_off_that_is_the_refusal_cause_until_the_first_back_off_ends)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
-	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 0);
-	registry.takeBackOff(upstreamNamed(registry, "b"), 2'000, 500);
-	cr_assert(RefusalCause::BackOff == whyNoneMayGet(registry.groupsOf(kService), 1'000));
+	registry.applyBackOff(upstreamNamed(registry, "a"), 3'000, 0);
+	registry.applyBackOff(upstreamNamed(registry, "b"), 2'000, 500);
+	cr_assert(RefusalCause::BackOff == refusalCauseOf(registry.groupsOf(kService), 1'000));
 	cr_assert(1'500 == registry.backOffEndsInMs(kService, 1'000) && 100 == choices(registry, 1'000)[""]);
-	cr_assert(!whyNoneMayGet(registry.groupsOf(kService), 2'500));
+	cr_assert(!refusalCauseOf(registry.groupsOf(kService), 2'500));
 }
 
 Test(board, cold_upstreams_at_their_limit_take_precedence_as_the_refusal_cause)
 {
-	Board registry("here", "gateway-1");
+	UpstreamRegistry registry("here", "gateway-1");
 	registry.setColdTerms(kService, ColdCapacity{20.0, 30.0, 2'048}); // no gateway may send any request
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0, 5'000);
-	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 0);
-	cr_assert(RefusalCause::ColdUpstreams == whyNoneMayGet(registry.groupsOf(kService), 100));
-	registry.takeBackOff(upstreamNamed(registry, "b"), 3'000, 0);
-	cr_assert(RefusalCause::BackOff == whyNoneMayGet(registry.groupsOf(kService), 100));
+	registry.applyBackOff(upstreamNamed(registry, "a"), 3'000, 0);
+	cr_assert(RefusalCause::ColdUpstreams == refusalCauseOf(registry.groupsOf(kService), 100));
+	registry.applyBackOff(upstreamNamed(registry, "b"), 3'000, 0);
+	cr_assert(RefusalCause::BackOff == refusalCauseOf(registry.groupsOf(kService), 100));
 }
 
 /// Rows expire while the store is unreachable and come back; the upstream rejoins its group with the group's next report.
 Test(board, a_back_off_outlasts_its_row_and_its_group)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
-	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 100);
+	registry.applyBackOff(upstreamNamed(registry, "a"), 3'000, 100);
 	registry.forget("a", 200);
 	registry.learn(recordOf("a", "1"), 300);
 	cr_assert(2'700 == remainingBackOffMs(upstreamNamed(registry, "a")->selfReport.backOff, 400));
-	cr_assert(0 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 400));
+	cr_assert(0 == countSendableMembers(*upstreamNamed(registry, "a")->group, 400));
 	registry.report(reportOf("g", {"1"}, 0), 500);
-	cr_assert(0 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 500));
+	cr_assert(0 == countSendableMembers(*upstreamNamed(registry, "a")->group, 500));
 	registry.deactivate("a");
 	registry.learn(recordOf("a", "1"), 600);
-	cr_assert(0 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 600) && 1 == membersThatMayGet(*upstreamNamed(registry, "a")->group, 3'100));
+	cr_assert(0 == countSendableMembers(*upstreamNamed(registry, "a")->group, 600) && 1 == countSendableMembers(*upstreamNamed(registry, "a")->group, 3'100));
 }
 
 /// The response to a request that was sent before the row was removed may arrive when there is no row or a new one.
 Test(board, a_response_counts_though_the_row_of_its_upstream_was_removed_meanwhile)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	const UpstreamRef sentTo = upstreamNamed(registry, "a");
 	registry.forget("a", 100);
-	registry.takeBackOff(sentTo, 3'000, 200);
+	registry.applyBackOff(sentTo, 3'000, 200);
 	registry.learn(recordOf("a", "1"), 300);
 	cr_assert(isBackedOff(*upstreamNamed(registry, "a"), 400));
-	registry.takeBackOff(sentTo, 5'000, 500);
+	registry.applyBackOff(sentTo, 5'000, 500);
 	cr_assert(5'000 == remainingBackOffMs(upstreamNamed(registry, "a")->selfReport.backOff, 500));
 	registry.forget("a", 6'000);
 	registry.learn(recordOf("a", "1"), 6'100);
@@ -113,9 +113,9 @@
 /// A restarted process may ask for the back-off before its new row arrives.
 Test(board, a_back_off_holds_for_a_new_run_of_the_incarnation)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1", "here", 1'000), 0);
-	registry.takeBackOff(upstreamNamed(registry, "a"), 3'000, 100);
+	registry.applyBackOff(upstreamNamed(registry, "a"), 3'000, 100);
 	registry.learn(recordOf("a", "1", "here", 2'000), 200);
 	cr_assert(isBackedOff(*upstreamNamed(registry, "a"), 300) && !isBackedOff(*upstreamNamed(registry, "a"), 3'100));
 }
@@ -124,7 +124,7 @@
 /// the remaining ones, or they would be overloaded until they ask to back off, too.
 Test(board, the_mean_load_counts_only_upstreams_without_back_off)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
 	registry.learn(recordOf("c", "3"), 0);
@@ -135,48 +135,48 @@
 	registry.report(report, 1);
 	const UpstreamGroup& group = *upstreamNamed(registry, "a")->group;
 	cr_assert(5.0 == meanLoad(group, 10));
-	registry.takeBackOff(upstreamNamed(registry, "a"), 800, 10);
-	registry.takeBackOff(upstreamNamed(registry, "c"), 800, 10);
+	registry.applyBackOff(upstreamNamed(registry, "a"), 800, 10);
+	registry.applyBackOff(upstreamNamed(registry, "c"), 800, 10);
 	cr_assert(6.0 == meanLoad(group, 20));
 	cr_assert(5.0 == meanLoad(group, 810));
 }
 
 Test(board, an_upstream_that_announced_leaving_gets_no_requests_whatever_its_row_says)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
-	registry.takeLeaving(upstreamNamed(registry, "a"), 100);
-	cr_assert(100 == choices(registry, 101)["b"] && 1 == upstreamNamed(registry, "a")->group->working);
+	registry.recordLeaving(upstreamNamed(registry, "a"), 100);
+	cr_assert(100 == choices(registry, 101)["b"] && 1 == upstreamNamed(registry, "a")->group->availableMembers);
 	registry.learn(recordOf("a", "1"), 200);
 	cr_assert(100 == choices(registry, 201)["b"]);
 	registry.forget("a", 300);
 	registry.learn(recordOf("a", "1"), 400);
-	cr_assert(100 == choices(registry, 401)["b"] && 1 == upstreamNamed(registry, "a")->group->working);
+	cr_assert(100 == choices(registry, 401)["b"] && 1 == upstreamNamed(registry, "a")->group->availableMembers);
 	registry.forget("a", 500);
 	registry.learn(recordOf("a", "1"), 500 + 120'000);
-	cr_assert(2 == upstreamNamed(registry, "a")->group->working, "it would have ended by then");
+	cr_assert(2 == upstreamNamed(registry, "a")->group->availableMembers, "it would have ended by then");
 }
 
 Test(board, a_new_run_of_the_incarnation_isnt_leaving)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1", "here", 1'000), 0);
 	const UpstreamRef before = upstreamNamed(registry, "a");
-	registry.takeLeaving(before, 100);
+	registry.recordLeaving(before, 100);
 	registry.learn(recordOf("a", "1", "here", 2'000), 200);
-	cr_assert(1 == upstreamNamed(registry, "a")->group->working);
-	registry.takeLeaving(before, 300); // repeated in a response of the previous run
-	cr_assert(1 == upstreamNamed(registry, "a")->group->working);
+	cr_assert(1 == upstreamNamed(registry, "a")->group->availableMembers);
+	registry.recordLeaving(before, 300); // repeated in a response of the previous run
+	cr_assert(1 == upstreamNamed(registry, "a")->group->availableMembers);
 }
 
 Test(board, leaving_counts_though_the_row_was_replaced_before_the_response_arrived)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	const UpstreamRef sentTo = upstreamNamed(registry, "a");
 	registry.forget("a", 100);
 	registry.learn(recordOf("a", "1"), 200);
-	registry.takeLeaving(sentTo, 300);
-	cr_assert(0 == upstreamNamed(registry, "a")->group->working);
+	registry.recordLeaving(sentTo, 300);
+	cr_assert(0 == upstreamNamed(registry, "a")->group->availableMembers);
 }
--- a/tests/test_board_rows.cpp
+++ b/tests/test_board_rows.cpp
@@ -12,7 +12,7 @@
 
 Test(board, a_new_incarnation_at_an_address_is_in_no_group_until_it_is_reported)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.report(reportOf("g", {"1"}), 10);
 	registry.learn(recordOf("b", "1"), 20);
@@ -26,12 +26,12 @@
 /// heartbeats.
 Test(board, of_two_incarnations_at_an_address_the_one_written_last_gets_requests)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("dead", "1"), 0);
 	registry.learn(recordOf("alive", "1"), 0);
 	registry.report(reportOf("g", {"1"}), 10);
 	const GroupRef unnamed = groupNamed(registry, "");
-	cr_assert(nullptr == unnamed || 0 == unnamed->working, "the dead one gets no requests");
+	cr_assert(nullptr == unnamed || 0 == unnamed->availableMembers, "the dead one gets no requests");
 	cr_assert("alive" == chosenIncarnation(registry, "g", 20));
 	registry.forget("dead", 30);
 	registry.report(reportOf("g", {"1"}), 40);
@@ -41,7 +41,7 @@
 /// The last incarnation at an address may be stale and get removed.
 Test(board, a_superseded_incarnation_is_available_again_when_its_successor_is_gone)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("alive", "1"), 0);
 	registry.learn(recordOf("ghost", "1"), 0);
 	registry.forget("ghost", 10);
@@ -52,7 +52,7 @@
 /// A process that restarts under its name has lost all its state and requests.
 Test(board, a_later_start_under_the_same_name_is_another_run)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	Random random(1);
 	UpstreamRecord record = recordOf("a", "1");
 	record.startedAt = 1'000;
@@ -79,7 +79,7 @@
 
 Test(board, a_row_without_a_start_is_of_the_run_that_is_known)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	UpstreamRecord record = recordOf("a", "1");
 	record.startedAt = 1'000;
 	registry.learn(record, 0);
@@ -95,7 +95,7 @@
 /// The process stays the same, so its requests in flight and its health are kept.
 Test(board, an_upstream_that_changes_its_service_leaves_the_group_of_the_one_before)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	Random random(1);
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "2"), 0);
@@ -105,7 +105,7 @@
 	const InFlight request(moved, 10);
 	moved->health.suspendedUntil = 60'000;
 	registry.learn(recordOfService(recordOf("a", "1"), "other"), 20);
-	cr_assert(1 == before->members.size() && 1 == before->working && 0 == before->inFlight);
+	cr_assert(1 == before->members.size() && 1 == before->availableMembers && 0 == before->inFlight);
 	cr_assert("b" == registry.choose(*before, {}, random, 30)->record.incarnation);
 	const std::vector<GroupRef>& groups = registry.groupsOf("other");
 	cr_assert(1 == groups.size() && groups.front()->name.empty() && groups.front()->members.front() == moved);
@@ -116,7 +116,7 @@
 
 Test(board, an_upstream_that_moves_frees_its_address)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	Random random(1);
 	registry.learn(recordOf("before", "1"), 0);
 	registry.learn(recordOf("moves", "1"), 0);
@@ -133,7 +133,7 @@
 /// A report may contain an address that its upstream has left.
 Test(board, an_upstream_that_is_gone_is_in_no_group_at_an_address_it_had)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	registry.learn(recordOf("a", "1"), 0);
 	registry.learn(recordOf("b", "3"), 0);
 	registry.learn(recordOf("a", "2"), 10);
@@ -145,7 +145,7 @@
 /// An unusable row says nothing about the process: its state must still hold when a usable row follows.
 Test(board, a_deactivated_upstream_keeps_its_state)
 {
-	Board registry("here", "gateway-1");
+	UpstreamRegistry registry("here", "gateway-1");
 	registry.setColdTerms(kService, kTwoSends);
 	UpstreamRecord record = recordOf("a", "1");
 	record.startedAt = 1'000;
@@ -163,13 +163,13 @@
 	cr_assert(registry.all().empty(), "a late write of the previous run");
 	registry.learn(record, 30, 3'000);
 	cr_assert(std::vector<UpstreamRef>{upstream} == registry.all() && isSuspended(upstream->health, 30));
-	cr_assert(1 == groupNamed(registry, "")->working && 1 == groupNamed(registry, "")->inFlight);
-	cr_assert(!isLimitedCold(*upstream, 30), "it isn't new");
+	cr_assert(1 == groupNamed(registry, "")->availableMembers && 1 == groupNamed(registry, "")->inFlight);
+	cr_assert(!isColdLimited(*upstream, 30), "it isn't new");
 }
 
 Test(board, a_deactivated_upstream_is_forgotten_when_its_row_is_removed_or_a_new_run_starts)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	UpstreamRecord record = recordOf("a", "1");
 	record.startedAt = 1'000;
 	record.leaving = true;
@@ -194,7 +194,7 @@
 
 Test(board, a_superseded_incarnation_is_available_again_when_its_successor_is_deactivated)
 {
-	Board registry("here");
+	UpstreamRegistry registry("here");
 	Random random(1);
 	registry.learn(recordOf("alive", "1"), 0);
 	registry.learn(recordOf("odd", "1"), 0);
@@ -234,7 +234,7 @@
 /// Each heartbeat writes a row with the remaining cold time of its upstream.
 Test(board, a_heartbeat_that_only_counts_down_is_not_logged)
 {
-	Board registry("here", "gateway-1");
+	UpstreamRegistry registry("here", "gateway-1");
 	registry.setColdTerms(kService, kTwoSends);
 	UpstreamRecord cold = recordOf("a", "1");
 	cold.coldForMs = 3'000;
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -81,7 +81,7 @@
 	const gateway::CallerRequest request = platform::makeCodec().decodeRequest(callerHead());
 	cr_assert(request.id == "9c41" && request.host == "a.example" && request.key == "secret");
 	cr_assert(request.patienceMs == 8'000 && request.resumeAfter == 12);
-	cr_assert(request.promptTokens == 1'460 && request.answerTokens == 80 && request.answerGuess == 40);
+	cr_assert(request.promptTokens == 1'460 && request.maxResponseTokens == 80 && request.expectedResponseTokens == 40);
 	cr_assert(request.prompt.size() == 2 && request.prompt[1].tokens == 410 && request.prompt[0].id == 0x5c1e07a2);
 }
 
@@ -103,13 +103,13 @@
 	const gateway::Codec codec = platform::makeCodec();
 	http::ResponseHead head{503, {}, true};
 	head.headers.add("X-Archdyke-Request-Id", "9c41");
-	cr_assert(!codec.decodeAnswer(head).provedNotRun);
+	cr_assert(!codec.decodeResponse(head).provedNotRun);
 	head.headers.add("X-Archdyke-Not-Executed", "1");
 	head.headers.add("Keep-Alive", "timeout=7, max=3");
 	head.headers.add("At-Server", "i-2");
-	const gateway::AnswerInfo info = codec.decodeAnswer(head);
-	cr_assert(info.provedNotRun && info.restMs == 7'000 && info.upstreamAtFault == "i-2" && !info.signedByUpstream);
-	cr_assert(codec.decodeAnswer({421, {}, true}).wrongIncarnation);
+	const gateway::ResponseInfo info = codec.decodeResponse(head);
+	cr_assert(info.provedNotRun && info.keepAliveMs == 7'000 && info.faultyMember == "i-2" && !info.signedByUpstream);
+	cr_assert(codec.decodeResponse({421, {}, true}).wrongIncarnation);
 }
 
 Test(platform, an_answer_tells_what_its_upstream_says_of_itself)
@@ -118,16 +118,16 @@
 	const auto asked = [&](int _status, const char* _text) {
 		http::ResponseHead head{_status, {}, true};
 		head.headers.add("Retry-After", _text);
-		return codec.decodeAnswer(head).backOffMs;
+		return codec.decodeResponse(head).backOffMs;
 	};
 	cr_assert(3'000 == asked(503, "3") && 250 == asked(503, "0.25") && 0 == asked(503, "0"));
 	cr_assert(!asked(503, "soon") && !asked(503, "-1") && !asked(503, "nan") && !asked(503, ""));
 	cr_assert(asked(503, "1e300"), "beyond all days, but a number");
 	cr_assert(!asked(429, "3") && !asked(200, "3"), "spoken to one caller");
 	http::ResponseHead head{200, {}, true};
-	cr_assert(!codec.decodeAnswer(head).leaving);
+	cr_assert(!codec.decodeResponse(head).leaving);
 	head.headers.add("Server-Leaving", "1");
-	cr_assert(codec.decodeAnswer(head).leaving);
+	cr_assert(codec.decodeResponse(head).leaving);
 }
 
 Test(platform, a_refusal_says_when_to_come_back)
--- a/tests/test_tries.cpp
+++ b/tests/test_tries.cpp
@@ -26,15 +26,15 @@
 		return _head;
 	}
 
-	AnswerInfo decodeAnswer(const http::ResponseHead& _head)
+	ResponseInfo decodeResponse(const http::ResponseHead& _head)
 	{
-		AnswerInfo info;
+		ResponseInfo info;
 		info.requestId = std::string(_head.headers.find(kIdHeader).value_or(""));
 		info.signedByUpstream = true;
 		return info;
 	}
 
-	http::ResponseHead encodeAnswer(const http::ResponseHead& _head)
+	http::ResponseHead encodeResponse(const http::ResponseHead& _head)
 	{
 		return _head;
 	}
@@ -73,8 +73,8 @@
 	{
 		TryRig()
 		{
-			this->state.board.learn(this->first.record(), nowMs());
-			this->state.board.learn(this->second.record(), nowMs());
+			this->state.registry.learn(this->first.record(), nowMs());
+			this->state.registry.learn(this->second.record(), nowMs());
 			Catalog catalog;
 			catalog.routes.push_back({});
 			catalog.routes.front().maxAttempts = 1;
@@ -84,12 +84,12 @@
 			this->context.service = kService;
 			this->context.deadlineAt = nowMs() + 2'000;
 			this->context.received.head = {"GET", "/x", {}, true};
-			this->context.group = this->state.board.groupsOf(kService).front();
+			this->context.group = this->state.registry.groupsOf(kService).front();
 		}
 
 		UpstreamRef named(const std::string& _incarnation) const
 		{
-			for (const UpstreamRef& upstream : this->state.board.all())
+			for (const UpstreamRef& upstream : this->state.registry.all())
 			{
 				if (_incarnation == upstream->record.incarnation)
 				{
@@ -108,7 +108,7 @@
 		http::LoopContext loop{io.provider->getNetwork(), io.provider->getTimer()};
 		Metrics metrics;
 		GatewayCounters counters{metrics};
-		GatewayState state{GatewaySettings(), Codec{decodeRequest, encodeDispatch, decodeAnswer, encodeAnswer, encodeRefusal}, loop, counters, 1};
+		GatewayState state{GatewaySettings(), Codec{decodeRequest, encodeDispatch, decodeResponse, encodeResponse, encodeRefusal}, loop, counters, 1};
 		AnsweringUpstream first{loop, "first"};
 		AnsweringUpstream second{loop, "second"};
 		kj::TwoWayPipe pipe = io.provider->newTwoWayPipe();
@@ -123,7 +123,7 @@
 {
 	TryRig rig;
 	kj::Promise<AttemptResult> result = attemptUpstream(rig.context, rig.named("first")).take();
-	rig.state.board.takeBackOff(rig.named("first"), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named("first"), 3'000, nowMs());
 	const AttemptResult ended = result.wait(rig.io.waitScope);
 	cr_assert(ended.withheld && !ended.answered && ExecutionProof::NotRun == ended.proof);
 	cr_assert(0 == rig.context.sends && !rig.context.maybeRunning && 0 == rig.first.arrivals);
@@ -136,7 +136,7 @@
 	kj::Promise<std::optional<Refusal>> refusal = dispatch(rig.context).take();
 	const std::string chosen = rig.context.upstream;
 	const std::string other = "first" == chosen ? "second" : "first";
-	rig.state.board.takeBackOff(rig.named(chosen), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named(chosen), 3'000, nowMs());
 	cr_assert(!refusal.wait(rig.io.waitScope));
 	cr_assert(Ending::Answered == rig.context.ending && 200 == rig.context.status);
 	cr_assert(0 == rig.upstream(chosen).arrivals && 1 == rig.upstream(other).arrivals);
@@ -147,8 +147,8 @@
 {
 	TryRig rig;
 	kj::Promise<std::optional<Refusal>> result = dispatch(rig.context).take();
-	rig.state.board.takeBackOff(rig.named("first"), 3'000, nowMs());
-	rig.state.board.takeBackOff(rig.named("second"), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named("first"), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named("second"), 3'000, nowMs());
 	const std::optional<Refusal> refusal = result.wait(rig.io.waitScope);
 	cr_assert(refusal && 503 == refusal->status && "back_off" == refusal->reason && refusal->comeBackMs);
 	cr_assert(0 == rig.first.arrivals + rig.second.arrivals && 0 == rig.context.sends);
--- a/tools/bench_groups.cpp
+++ b/tools/bench_groups.cpp
@@ -28,7 +28,7 @@
 			return fmt::format("10.{}.{}.{}:80", _group, _rank / 200, _rank % 200);
 		}
 
-		void fill(gateway::Board& _board, const Shape& _shape)
+		void fill(gateway::UpstreamRegistry& _board, const Shape& _shape)
 		{
 			for (std::size_t group = 0; group < _shape.groups; ++group)
 			{
@@ -47,7 +47,7 @@
 		}
 
 		/// @returns Time of one choice of a group and of a rank in it, us.
-		double timeOfChoice(const gateway::Board& _board)
+		double timeOfChoice(const gateway::UpstreamRegistry& _board)
 		{
 			Random random(7);
 			const auto begin = std::chrono::steady_clock::now();
@@ -58,7 +58,7 @@
 				for (const gateway::GroupRef& group : groups)
 				{
 					const double load = gateway::meanLoad(*group, 2);
-					candidates.push_back({GroupStatus::InTime, true, (load + 1.0) / 12.0, (12.0 - load) * double(group->working), double(group->workingInZone) / double(group->working), false});
+					candidates.push_back({GroupStatus::InTime, true, (load + 1.0) / 12.0, (12.0 - load) * double(group->availableMembers), double(group->availableInZone) / double(group->availableMembers), false});
 				}
 				_board.choose(*groups[*chooseGroup(candidates, random)], {}, random, 2);
 			}
@@ -90,12 +90,12 @@
 			Table table{"Time of one choice, us", {"groups", "ranks of a group", "workers", "us"}, {}};
 			for (const Shape& shape : {Shape{1, 12}, Shape{1, 128}, Shape{3, 24}, Shape{3, 128}, Shape{94, 12}, Shape{94, 128}})
 			{
-				gateway::Board board("zone-0");
-				fill(board, shape);
+				gateway::UpstreamRegistry registry("zone-0");
+				fill(registry, shape);
 				std::vector<double> times;
 				for (int seed = 0; seed < kSeeds; ++seed)
 				{
-					times.push_back(timeOfChoice(board));
+					times.push_back(timeOfChoice(registry));
 				}
 				table.rows.push_back({std::to_string(shape.groups), std::to_string(shape.ranks), std::to_string(shape.groups * shape.ranks), show(spreadOf(times), 1)});
 			}
