--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -36,9 +36,9 @@
 	'const std::uint64_t skip = _state.nextOffset - _frame.offset;' 'const std::uint64_t skip = 0;'
 mutant broken-stream-ends-cleanly "path_a_killed_agent_breaks_the_stream_visibly" src/entry/entry_http.cpp \
 	'_sink.write(event.data(), event.size());
-			this->account(*_exchange, error.answer.outcome);
+			this->recordOutcome(*_exchange, error.response.outcome);
 			return false;' '_sink.done();
-			this->account(*_exchange, error.answer.outcome);
+			this->recordOutcome(*_exchange, error.response.outcome);
 			return true;'
 mutant no-session-floor "ledger_.*|outcome_a_late_copy_on_an_old_connection_never_runs" src/decide/ledger.cpp \
 	'return _ledger.floors.end() != it && _session.number < it->second.number;' 'return false && _ledger.floors.end() != it;' \
@@ -46,7 +46,7 @@
 			_ledger.ended.push_back({_key, _now});
 			return RevokeState::NotRun;' 'return RevokeState::NotRun;'
 mutant lost-link-means-not-run "outcome_a_lost_verdict_is_never_told_as_not_run" src/entry/request_reconnect.cpp \
-	'const std::optional<RevokeState> state = this->settle(_until);' 'const std::optional<RevokeState> state = RevokeState::NotRun;'
+	'const std::optional<RevokeState> state = this->revokeUntilAnswered(_until);' 'const std::optional<RevokeState> state = RevokeState::NotRun;'
 mutant no-claims "once_the_same_key_through_two_entries_runs_once|once_an_entry_killed_after_its_claim_leaves_the_key_in_doubt" src/entry/entry_http.cpp \
 	'if (_exchange.request.repeatable || _exchange.caller.idempotencyKey.empty())' 'if (true)'
 mutant retry-whatever-is-proved "retry_.*|outcome_seeded_faults_at_random_moments|outcome_frozen_and_killed_agents_are_never_told_as_not_run" src/decide/retry.cpp \
--- a/src/entry/agent_link.cpp
+++ b/src/entry/agent_link.cpp
@@ -14,7 +14,7 @@
 
 	AgentLink::AgentLink(RpcLoop& _loop, AgentIdentity _identity, std::uint64_t _entryIncarnation)
 	    : loop(_loop)
-	    , name(std::move(_identity))
+	    , agentIdentity(std::move(_identity))
 	    , entryIncarnation(_entryIncarnation)
 	    , heartbeatMs(kHeartbeatMs)
 	{
@@ -37,21 +37,21 @@
 		});
 	}
 
-	void AgentLink::setHeartbeat(Millis _everyMs)
+	void AgentLink::setHeartbeat(Millis _intervalMs)
 	{
-		this->heartbeatMs = _everyMs;
+		this->heartbeatMs = _intervalMs;
 	}
 
 	void AgentLink::applyListState(const std::string& _address, ListState _state)
 	{
-		bool moved = false;
+		bool addressChanged = false;
 		{
 			absl::MutexLock lock(&this->mutex);
-			moved = this->address != _address;
+			addressChanged = this->address != _address;
 			this->address = _address;
 			archdyke::applyListState(this->member, _state);
 		}
-		if (moved)
+		if (addressChanged)
 		{
 			this->loop.post([self = this->shared_from_this()] {
 				self->dropConnection("address changed");
@@ -61,7 +61,7 @@
 
 	const AgentIdentity& AgentLink::identity() const
 	{
-		return this->name;
+		return this->agentIdentity;
 	}
 
 	AgentCandidate AgentLink::candidate()
@@ -71,7 +71,7 @@
 		candidate.usable = mayReceiveWork(this->member) && 0 < this->load.slots;
 		candidate.slots = this->load.slots;
 		candidate.reported = this->load.running + this->load.queued;
-		candidate.sentSinceReport = this->unreported;
+		candidate.sentSinceReport = this->pendingVerdicts;
 		candidate.meanRunMs = this->load.meanRunMs;
 		return candidate;
 	}
@@ -85,14 +85,14 @@
 	AgentLinkView AgentLink::view()
 	{
 		absl::MutexLock lock(&this->mutex);
-		return {this->name, this->address, this->member, this->load, this->unreported, this->session};
+		return {this->agentIdentity, this->address, this->member, this->load, this->pendingVerdicts, this->session};
 	}
 
 	void AgentLink::dispatch(std::shared_ptr<Call> _call, RunSpec _run)
 	{
 		{
 			absl::MutexLock lock(&this->mutex);
-			this->unreported += 1;
+			this->pendingVerdicts += 1;
 		}
 		this->loop.post([self = this->shared_from_this(), call = std::move(_call), run = std::move(_run)] {
 			self->sendDispatch(call, run);
@@ -146,15 +146,15 @@
 			return;
 		}
 		const Millis now = nowMs();
-		if (nullptr != this->connection.get() && this->connection->isSilent(now))
+		if (nullptr != this->connection.get() && this->connection->hasTimedOut(now))
 		{
-			this->dropConnection("no answer");
+			this->dropConnection("no response");
 		}
 		if (nullptr == this->connection.get() && this->nextConnectAt <= now)
 		{
 			this->connect();
 		}
-		if (nullptr != this->connection.get() && this->connection->ready && this->heartbeatMs <= now - this->connection->lastHeard)
+		if (nullptr != this->connection.get() && this->connection->ready && this->heartbeatMs <= now - this->connection->lastReceivedAt)
 		{
 			this->sendHeartbeat(*this->connection);
 		}
@@ -181,25 +181,25 @@
 		                                                              })
 		                         .then([this, &connection](kj::Own<kj::AsyncIoStream>&& _stream) {
 			                         connection.establish(kj::mv(_stream));
-			                         this->sayHello(connection);
+			                         this->sendHello(connection);
 		                         }));
 	}
 
-	void AgentLink::sayHello(Connection& _connection)
+	void AgentLink::sendHello(Connection& _connection)
 	{
 		auto request = _connection.agent->helloRequest();
 		writeSession(request.initSession(), {this->entryIncarnation, 0, _connection.session});
 		_connection.tasks.add(request.send().then([this, &_connection](capnp::Response<rpc::Agent::HelloResults>&& _response) {
 			_connection.agentIncarnation = _response.getIncarnation();
 			_connection.ready = true;
-			_connection.lastHeard = nowMs();
-			_connection.askedAt = nowMs();
-			this->hearLoad(readLoad(_response.getLoad()));
+			_connection.lastReceivedAt = nowMs();
+			_connection.lastRequestAt = nowMs();
+			this->applyLoad(readLoad(_response.getLoad()));
 			{
 				absl::MutexLock lock(&this->mutex);
 				applyLinkState(this->member, true);
 			}
-			logInfo("agent_link_up", {{"agent", this->name.name}, {"incarnation", toHex(_connection.agentIncarnation)}, {"session", _connection.session}});
+			logInfo("agent_link_up", {{"agent", this->agentIdentity.name}, {"incarnation", toHex(_connection.agentIncarnation)}, {"session", _connection.session}});
 		}));
 	}
 
@@ -210,22 +210,22 @@
 			return;
 		}
 		_connection.heartbeatPending = true;
-		_connection.askedAt = nowMs();
+		_connection.lastRequestAt = nowMs();
 		_connection.tasks.add(_connection.agent->heartbeatRequest().send().then([this, &_connection](capnp::Response<rpc::Agent::HeartbeatResults>&& _response) {
 			_connection.heartbeatPending = false;
-			_connection.lastHeard = nowMs();
-			this->hearLoad(readLoad(_response.getLoad()));
+			_connection.lastReceivedAt = nowMs();
+			this->applyLoad(readLoad(_response.getLoad()));
 		}));
 	}
 
-	void AgentLink::hearLoad(const LoadReport& _load)
+	void AgentLink::applyLoad(const LoadReport& _load)
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->load = _load;
 		applyAgentState(this->member, _load.incarnation, _load.leaving);
 	}
 
-	void AgentLink::markBroken(std::uint64_t _session, const std::string& _why)
+	void AgentLink::scheduleDrop(std::uint64_t _session, const std::string& _why)
 	{
 		// The connection can't be dropped from within one of its own tasks.
 		this->loop.post([self = this->shared_from_this(), _session, _why] {
@@ -251,7 +251,7 @@
 		}
 		if (wasReady)
 		{
-			logWarning("agent_link_lost", {{"agent", this->name.name}, {"why", _why}, {"requests", this->calls.size()}});
+			logWarning("agent_link_lost", {{"agent", this->agentIdentity.name}, {"why", _why}, {"requests", this->calls.size()}});
 		}
 		for (auto& [key, call] : this->calls)
 		{
--- a/src/entry/agent_link.h
+++ b/src/entry/agent_link.h
@@ -1,5 +1,5 @@
-/// An entry's link to one agent: connects again when it breaks, with a new session
-/// number each time, and tells every request on it when it is lost.
+/// An entry's link to one agent. It reconnects after a failure, with a new session number
+/// each time, and notifies all requests on it when the connection is lost.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,7 +17,7 @@
 
 namespace archdyke
 {
-	/// What names an agent for routing; doesn't change while the link lives.
+	/// Identifies an agent for routing; constant over the life of the link.
 	struct AgentIdentity
 	{
 		std::string name;
@@ -34,7 +34,7 @@
 		std::string address;
 		Member member;
 		LoadReport load;
-		std::uint32_t unreported = 0;
+		std::uint32_t pendingVerdicts = 0;
 		std::uint64_t session = 0;
 
 		bool operator==(const AgentLinkView&) const = default;
@@ -46,41 +46,41 @@
 		AgentLink(RpcLoop& _loop, AgentIdentity _identity, std::uint64_t _entryIncarnation);
 		~AgentLink();
 
-		/// Begins to connect. Call it once.
+		/// Starts to connect. Call it once.
 		void open();
 
-		/// Ends the link for good. Requests on it are told that it is lost.
+		/// Closes the link permanently. Requests on it get a LinkLostEvent.
 		void close();
 
-		/// Sets the time between heartbeats while the link is quiet, ms.
-		void setHeartbeat(Millis _everyMs);
+		/// Sets the heartbeat interval of an idle link, ms.
+		void setHeartbeat(Millis _intervalMs);
 
-		/// Takes in what the VM list says.
+		/// Applies the agent's address and state from the VM list.
 		void applyListState(const std::string& _address, ListState _state);
 
 		const AgentIdentity& identity() const;
 
-		/// @returns The agent as a candidate; ownZone and distance are the caller's to set.
+		/// @returns The agent as a candidate, without id, ownZone and distanceMs, which the caller sets.
 		AgentCandidate candidate();
 
-		/// @returns Incarnation of the agent at the other end; 0 while there is none.
+		/// @returns Incarnation of the agent at the other end; 0 while none is known.
 		std::uint64_t incarnation();
 
 		AgentLinkView view();
 
-		/// Sends a run. Its events go to _call until forget.
+		/// Dispatches a run. Its events are pushed to _call.
 		void dispatch(std::shared_ptr<Call> _call, RunSpec _run);
 
-		/// Asks the incarnation that got the dispatch to take it back.
+		/// Asks the incarnation that received the dispatch to revoke it.
 		void revoke(std::shared_ptr<Call> _call, const RunKey& _key, std::uint64_t _incarnation);
 
-		/// Asks for the rest of an answer from _offset on.
+		/// Requests the rest of a response from _offset on.
 		void resume(std::shared_ptr<Call> _call, const RunKey& _key, std::uint64_t _incarnation, std::uint64_t _offset);
 
-		/// Tells the agent that nobody waits for the answer any more.
+		/// Tells the agent that the response is no longer needed.
 		void cancel(const RunKey& _key);
 
-		/// No more events of this run.
+		/// Removes a run from the link: its call gets no LinkLostEvent any more.
 		void forget(const RunKey& _key);
 
 	private:
@@ -89,18 +89,18 @@
 		void tick();
 		void scheduleTick();
 		void connect();
-		void sayHello(Connection& _connection);
+		void sendHello(Connection& _connection);
 		void sendHeartbeat(Connection& _connection);
-		void markBroken(std::uint64_t _session, const std::string& _why);
+		void scheduleDrop(std::uint64_t _session, const std::string& _why);
 		void dropConnection(const std::string& _why);
-		void hearLoad(const LoadReport& _load);
+		void applyLoad(const LoadReport& _load);
 		Connection* readyConnection(std::uint64_t _incarnation);
 		void sendDispatch(const std::shared_ptr<Call>& _call, const RunSpec& _run);
 		void sendRevoke(const std::shared_ptr<Call>& _call, const RunKey& _key, std::uint64_t _incarnation);
 		void sendResume(const std::shared_ptr<Call>& _call, const RunKey& _key, std::uint64_t _incarnation, std::uint64_t _offset);
 
 		RpcLoop& loop;
-		const AgentIdentity name;
+		const AgentIdentity agentIdentity;
 		const std::uint64_t entryIncarnation;
 
 		std::atomic<Millis> heartbeatMs;
@@ -109,10 +109,10 @@
 		std::string address ABSL_GUARDED_BY(mutex);
 		Member member ABSL_GUARDED_BY(mutex);
 		LoadReport load ABSL_GUARDED_BY(mutex);
-		std::uint32_t unreported ABSL_GUARDED_BY(mutex) = 0; ///< Dispatches without a verdict yet.
+		std::uint32_t pendingVerdicts ABSL_GUARDED_BY(mutex) = 0; ///< Dispatches without a verdict yet.
 		std::uint64_t session ABSL_GUARDED_BY(mutex) = 0;
 
-		// Only on the loop's thread:
+		// Used on the loop's thread only:
 		kj::Own<Connection> connection;
 		absl::flat_hash_map<RunKey, std::shared_ptr<Call>> calls;
 		bool closed = false;
--- a/src/entry/agent_link_calls.cpp
+++ b/src/entry/agent_link_calls.cpp
@@ -1,4 +1,4 @@
-/// The calls of a link that belong to a run.
+/// The calls of a link that concern a run.
 #include "entry/agent_link_p.h"
 #include "rpc/rpc_convert.h"
 
@@ -6,13 +6,13 @@
 {
 	namespace
 	{
-		/// Hands the frames of a run to its caller's thread.
+		/// Pushes the frames of a run to the queue of its request.
 		class CallSink final : public rpc::Sink::Server
 		{
 		public:
-			CallSink(std::shared_ptr<Call> _call, std::function<void(const LoadReport&)> _hearLoad)
+			CallSink(std::shared_ptr<Call> _call, std::function<void(const LoadReport&)> _applyLoad)
 			    : call(std::move(_call))
-			    , hearLoad(std::move(_hearLoad))
+			    , applyLoad(std::move(_applyLoad))
 			{
 			}
 
@@ -22,7 +22,7 @@
 				const rpc::Frame::Reader frame = _context.getParams().getFrame();
 				if (frame.getEnd())
 				{
-					this->hearLoad(readLoad(frame.getLoad()));
+					this->applyLoad(readLoad(frame.getLoad()));
 				}
 				this->call->push(readFrame(frame));
 				return kj::READY_NOW;
@@ -30,7 +30,7 @@
 
 		private:
 			std::shared_ptr<Call> call;
-			std::function<void(const LoadReport&)> hearLoad;
+			std::function<void(const LoadReport&)> applyLoad;
 		};
 	} // namespace
 
@@ -39,7 +39,7 @@
 		if (nullptr == this->connection.get() || !this->connection->ready)
 		{
 			absl::MutexLock lock(&this->mutex);
-			this->unreported -= 1;
+			this->pendingVerdicts -= 1;
 			_call->push(LinkLostEvent{true});
 			return;
 		}
@@ -48,30 +48,30 @@
 		auto request = connection.agent->dispatchRequest();
 		writeRun(request.initRun(), _run, {this->entryIncarnation, connection.agentIncarnation, connection.session});
 		request.setSink(kj::heap<CallSink>(_call, [self = this->shared_from_this()](const LoadReport& _load) {
-			self->hearLoad(_load);
+			self->applyLoad(_load);
 		}));
-		if (kLinkQuietMs < nowMs() - connection.lastHeard)
+		if (kLinkQuietMs < nowMs() - connection.lastReceivedAt)
 		{
-			// A dead link is found while the run waits, not at its deadline.
+			// Detects a dead link while the run waits, instead of at its deadline.
 			this->sendHeartbeat(connection);
 		}
-		auto countDown = kj::defer([self = this->shared_from_this()] {
+		auto decrementPending = kj::defer([self = this->shared_from_this()] {
 			absl::MutexLock lock(&self->mutex);
-			self->unreported -= 1;
+			self->pendingVerdicts -= 1;
 		});
 		connection.tasks.add(request.send().then([this, &connection, call = _call](capnp::Response<rpc::Agent::DispatchResults>&& _response) {
-			                                   connection.lastHeard = nowMs();
-			                                   this->hearLoad(readLoad(_response.getVerdict().getLoad()));
+			                                   connection.lastReceivedAt = nowMs();
+			                                   this->applyLoad(readLoad(_response.getVerdict().getLoad()));
 			                                   call->push(readVerdict(_response.getVerdict()));
 		                                   })
-		                         .attach(kj::mv(countDown)));
+		                         .attach(kj::mv(decrementPending)));
 	}
 
 	void AgentLink::sendRevoke(const std::shared_ptr<Call>& _call, const RunKey& _key, std::uint64_t _incarnation)
 	{
 		if (nullptr != this->connection.get() && this->connection->ready && _incarnation != this->connection->agentIncarnation)
 		{
-			// Another incarnation answers now: what the old one did can't be known.
+			// The agent has a new incarnation: what the old one did is unknown.
 			_call->push(RevokeEvent{true, RevokeState::Unknown});
 			return;
 		}
@@ -108,7 +108,7 @@
 		writeSession(request.initSession(), {this->entryIncarnation, connection->agentIncarnation, connection->session});
 		request.setOffset(_offset);
 		request.setSink(kj::heap<CallSink>(_call, [self = this->shared_from_this()](const LoadReport& _load) {
-			self->hearLoad(_load);
+			self->applyLoad(_load);
 		}));
 		connection->tasks.add(request.send().then([call = _call](capnp::Response<rpc::Agent::ResumeResults>&& _response) {
 			call->push(ResumeEvent{true, _response.getKnown()});
--- a/src/entry/agent_link_p.h
+++ b/src/entry/agent_link_p.h
@@ -1,4 +1,4 @@
-/// The connection of a link, for the files that implement AgentLink.
+/// The connection of a link; internal to the implementation of AgentLink.
 #pragma once
 
 #include <capnp/rpc-twoparty.h>
@@ -21,7 +21,7 @@
 
 		void taskFailed(kj::Exception&& _error) override
 		{
-			this->link.markBroken(this->session, _error.getDescription().cStr());
+			this->link.scheduleDrop(this->session, _error.getDescription().cStr());
 		}
 
 		void establish(kj::Own<kj::AsyncIoStream> _stream)
@@ -30,27 +30,27 @@
 			this->client = kj::heap<capnp::TwoPartyClient>(*this->stream);
 			this->agent = kj::heap<rpc::Agent::Client>(this->client->bootstrap().castAs<rpc::Agent>());
 			this->tasks.add(this->client->onDisconnect().then([this] {
-				this->link.markBroken(this->session, "disconnected");
+				this->link.scheduleDrop(this->session, "disconnected");
 			}));
 		}
 
-		/// @returns Whether a question has gone without an answer for too long.
-		bool isSilent(Millis _now) const
+		/// @returns Whether a pending connect, hello or heartbeat has exceeded kLinkTimeoutMs.
+		bool hasTimedOut(Millis _now) const
 		{
-			const bool asked = !this->ready || this->heartbeatPending;
-			return asked && kLinkTimeoutMs < _now - this->askedAt;
+			const bool awaitingResponse = !this->ready || this->heartbeatPending;
+			return awaitingResponse && kLinkTimeoutMs < _now - this->lastRequestAt;
 		}
 
 		const std::uint64_t session;
 		AgentLink& link;
 		std::uint64_t agentIncarnation = 0;
 		bool ready = false;
-		Millis lastHeard = nowMs();
-		Millis askedAt = nowMs(); ///< Connect, hello or heartbeat.
+		Millis lastReceivedAt = nowMs();
+		Millis lastRequestAt = nowMs(); ///< Time of the last connect, hello or heartbeat.
 		bool heartbeatPending = false;
 		kj::Own<kj::AsyncIoStream> stream;
 		kj::Own<capnp::TwoPartyClient> client;
 		kj::Own<rpc::Agent::Client> agent;
-		kj::TaskSet tasks; ///< Last, so that it goes first.
+		kj::TaskSet tasks; ///< Last member, so that it is destroyed first.
 	};
 } // namespace archdyke
--- a/src/entry/call.h
+++ b/src/entry/call.h
@@ -1,4 +1,4 @@
-/// The queue through which a caller's thread hears what happens to its request.
+/// Event queue from an agent link to the thread that handles a request.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -14,10 +14,11 @@
 	public:
 		void push(CallEvent _event);
 
-		/// Waits for the next event that asks for something to be done. That a run was
-		/// accepted doesn't wake the waiting thread: it comes first when the next event does.
-		/// @param[in] _untilMs Time on nowMs.
-		/// @returns Nothing when the time has come first.
+		/// Waits for an urgent event, then returns the oldest event in the queue. An accepted
+		/// verdict is not urgent: it doesn't wake the waiting thread and is returned before the
+		/// next urgent event.
+		/// @param[in] _untilMs Time limit on the clock of nowMs, ms.
+		/// @returns Nothing when the time limit is reached with an empty queue.
 		std::optional<CallEvent> wait(Millis _untilMs);
 
 	private:
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -11,20 +11,20 @@
 	namespace
 	{
 		constexpr std::size_t kMaxBatch = 100;
-		constexpr Millis kRetryMs = 100;
-		/// Writes a second that all entries' claims together may make at the table.
-		constexpr Millis kClaimTransactionsPerSecond = 200;
-		/// A write whose answer was lost may still take effect within this time, ms.
-		constexpr Millis kLateWriteMs = 30'000;
-		/// Between two looks for such a write, ms.
-		constexpr Millis kWatchMs = 1'000;
-		/// Between two looks for items that are due, ms.
-		constexpr Millis kIdleMs = 50;
+		constexpr Millis kRetryDelayMs = 100;
+		/// Limit on the claim transactions per second of all entries together.
+		constexpr Millis kMaxClaimTransactionsPerS = 200;
+		/// A write whose response was lost may still take effect within this time, ms.
+		constexpr Millis kLateWriteWindowMs = 30'000;
+		/// Interval between checks for such a write, ms.
+		constexpr Millis kLateWriteCheckMs = 1'000;
+		/// Interval between checks for operations that are due, ms.
+		constexpr Millis kIdleCheckMs = 50;
 
-		ClaimEnd toEnd(ClaimVerdict _verdict)
+		ClaimResult toResult(ClaimVerdict _verdict)
 		{
-			return ClaimVerdict::Mine == _verdict ? ClaimEnd::Won : ClaimVerdict::AlreadyRan == _verdict ? ClaimEnd::AlreadyRan
-			                                                                                             : ClaimEnd::InDoubt;
+			return ClaimVerdict::Mine == _verdict ? ClaimResult::Claimed : ClaimVerdict::AlreadyRan == _verdict ? ClaimResult::AlreadyRan
+			                                                                                                    : ClaimResult::InDoubt;
 		}
 	} // namespace
 
@@ -33,7 +33,7 @@
 	    , zone(_zone)
 	    , transactions(_metrics.counter("archdyke_entry_claim_transactions_total", "Transactions for claims of idempotency keys."))
 	    , thread([this] {
-		    this->work();
+		    this->threadMain();
 	    })
 	{
 	}
@@ -52,128 +52,129 @@
 		this->entries = std::max(1u, _entries);
 	}
 
-	Millis Claims::intervalMs() const
+	Millis Claims::batchIntervalMs() const
 	{
-		return std::max<Millis>(kClaimBatchMs, Millis(this->entries) * 1000 / kClaimTransactionsPerSecond);
+		return std::max<Millis>(kClaimBatchMs, Millis(this->entries) * 1000 / kMaxClaimTransactionsPerS);
 	}
 
-	ClaimEnd Claims::claim(const std::string& _key, const std::string& _nonce)
+	ClaimResult Claims::claim(const std::string& _key, const std::string& _nonce)
 	{
-		auto item = std::make_shared<Item>();
-		item->wish = Wish::Claim;
-		item->key = _key;
-		item->nonce = _nonce;
-		item->giveUpAt = nowMs() + std::max(kClaimTimeoutMs, 2 * this->intervalMs());
-		// A key that nobody has claimed is the usual case: try the write at once.
-		item->rowKnown = true;
+		auto operation = std::make_shared<Operation>();
+		operation->kind = OperationKind::Claim;
+		operation->key = _key;
+		operation->nonce = _nonce;
+		operation->timeoutAt = nowMs() + std::max(kClaimTimeoutMs, 2 * this->batchIntervalMs());
+		// Most keys are unclaimed, so the first write is made without a read.
+		operation->rowKnown = true;
 		absl::MutexLock lock(&this->mutex);
-		this->items.push_back(item);
-		this->mutex.AwaitWithTimeout(absl::Condition(&item->settled), absl::Milliseconds(item->giveUpAt - nowMs()));
-		if (!item->settled)
+		this->operations.push_back(operation);
+		this->mutex.AwaitWithTimeout(absl::Condition(&operation->completed), absl::Milliseconds(operation->timeoutAt - nowMs()));
+		if (!operation->completed)
 		{
-			// The write may still take effect; the key is given back when it does.
-			item->wish = Wish::Release;
-			item->forgetAt = nowMs() + kLateWriteMs;
-			return ClaimEnd::NoStore;
+			// The write may still take effect; the key is released if it does.
+			operation->kind = OperationKind::Release;
+			operation->watchUntil = nowMs() + kLateWriteWindowMs;
+			return ClaimResult::StoreUnavailable;
 		}
-		return item->end;
+		return operation->result;
 	}
 
-	void Claims::add(Wish _wish, const std::string& _key, const std::string& _nonce)
+	void Claims::enqueue(OperationKind _kind, const std::string& _key, const std::string& _nonce)
 	{
-		auto item = std::make_shared<Item>();
-		item->wish = _wish;
-		item->key = _key;
-		item->nonce = _nonce;
+		auto operation = std::make_shared<Operation>();
+		operation->kind = _kind;
+		operation->key = _key;
+		operation->nonce = _nonce;
 		absl::MutexLock lock(&this->mutex);
-		this->items.push_back(std::move(item));
+		this->operations.push_back(std::move(operation));
 	}
 
 	void Claims::markRan(const std::string& _key, const std::string& _nonce)
 	{
-		this->add(Wish::MarkRan, _key, _nonce);
+		this->enqueue(OperationKind::MarkRan, _key, _nonce);
 	}
 
 	void Claims::release(const std::string& _key, const std::string& _nonce)
 	{
-		this->add(Wish::Release, _key, _nonce);
+		this->enqueue(OperationKind::Release, _key, _nonce);
 	}
 
 	void Claims::flush(Millis _timeoutMs)
 	{
 		absl::MutexLock lock(&this->mutex);
 		const auto isEmpty = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
-			return this->items.empty();
+			return this->operations.empty();
 		};
 		this->mutex.AwaitWithTimeout(absl::Condition(&isEmpty), absl::Milliseconds(_timeoutMs));
 	}
 
-	void Claims::settle(const ItemPointer& _item, ClaimEnd _end)
+	void Claims::complete(const OperationPointer& _operation, ClaimResult _result)
 	{
-		_item->settled = true;
-		_item->end = _end;
+		_operation->completed = true;
+		_operation->result = _result;
 	}
 
-	/// @returns Whether the item is settled; else the transaction has what to do for it.
-	bool Claims::decideItem(const ItemPointer& _item, TableTransaction& _transaction)
+	/// Adds the next read or write of an operation to the transaction.
+	/// @returns Whether the operation is completed.
+	bool Claims::prepareOperation(const OperationPointer& _operation, TableTransaction& _transaction)
 	{
-		if (!_item->rowKnown)
+		if (!_operation->rowKnown)
 		{
-			_transaction.reads.push_back(_item->key);
+			_transaction.reads.push_back(_operation->key);
 			return false;
 		}
-		const ClaimVerdict verdict = evaluateClaim(_item->row, _item->nonce);
-		if (Wish::Claim == _item->wish && ClaimVerdict::Free != verdict)
+		const ClaimVerdict verdict = evaluateClaim(_operation->row, _operation->nonce);
+		if (OperationKind::Claim == _operation->kind && ClaimVerdict::Free != verdict)
 		{
-			this->settle(_item, toEnd(verdict));
+			this->complete(_operation, toResult(verdict));
 			return true;
 		}
-		if (Wish::Claim != _item->wish && ClaimVerdict::Mine != verdict)
+		if (OperationKind::Claim != _operation->kind && ClaimVerdict::Mine != verdict)
 		{
-			_item->rowKnown = false;
-			const bool mayComeLate = ClaimVerdict::Free == verdict && nowMs() < _item->forgetAt;
-			_item->dueAt = nowMs() + kWatchMs;
-			if (!mayComeLate)
+			_operation->rowKnown = false;
+			const bool mayArriveLate = ClaimVerdict::Free == verdict && nowMs() < _operation->watchUntil;
+			_operation->dueAt = nowMs() + kLateWriteCheckMs;
+			if (!mayArriveLate)
 			{
-				this->settle(_item, ClaimEnd::NoStore);
+				this->complete(_operation, ClaimResult::StoreUnavailable);
 			}
-			return !mayComeLate;
+			return !mayArriveLate;
 		}
-		_transaction.conditions.push_back({_item->key, _item->version});
-		const ClaimRow row{Wish::MarkRan == _item->wish ? ClaimState::Ran : ClaimState::Claimed, _item->nonce};
-		_transaction.writes.push_back({_item->key, Wish::Release == _item->wish ? std::nullopt : std::optional<std::string>(encodeClaim(row)), kClaimKeepSeconds});
+		_transaction.conditions.push_back({_operation->key, _operation->version});
+		const ClaimRow row{OperationKind::MarkRan == _operation->kind ? ClaimState::Ran : ClaimState::Claimed, _operation->nonce};
+		_transaction.writes.push_back({_operation->key, OperationKind::Release == _operation->kind ? std::nullopt : std::optional<std::string>(encodeClaim(row)), kClaimKeepSeconds});
 		return false;
 	}
 
-	void Claims::applyRows(const TableResult& _result, const std::vector<ItemPointer>& _batch)
+	void Claims::applyRows(const TableResult& _result, const std::vector<OperationPointer>& _batch)
 	{
-		for (const ItemPointer& item : _batch)
+		for (const OperationPointer& operation : _batch)
 		{
 			const auto row = std::find_if(_result.rows.begin(), _result.rows.end(), [&](const TableRow& _row) {
-				return item->key == _row.key;
+				return operation->key == _row.key;
 			});
 			if (_result.rows.end() != row)
 			{
-				item->rowKnown = true;
-				item->version = row->version;
-				item->row = 0 == row->version ? std::nullopt : std::optional<ClaimRow>(decodeClaim(row->value));
+				operation->rowKnown = true;
+				operation->version = row->version;
+				operation->row = 0 == row->version ? std::nullopt : std::optional<ClaimRow>(decodeClaim(row->value));
 			}
 		}
 	}
 
-	void Claims::handleBatch(PlatformClient& _client, const std::vector<ItemPointer>& _batch)
+	void Claims::handleBatch(PlatformClient& _client, const std::vector<OperationPointer>& _batch)
 	{
 		TableTransaction transaction;
-		std::vector<Written> writers;
+		std::vector<PendingWrite> pendingWrites;
 		{
 			absl::MutexLock lock(&this->mutex);
-			for (const ItemPointer& item : _batch)
+			for (const OperationPointer& operation : _batch)
 			{
 				const std::size_t before = transaction.writes.size();
-				const bool settled = this->decideItem(item, transaction);
-				if (!settled && before < transaction.writes.size())
+				const bool completed = this->prepareOperation(operation, transaction);
+				if (!completed && before < transaction.writes.size())
 				{
-					writers.push_back({item, item->wish});
+					pendingWrites.push_back({operation, operation->kind});
 				}
 			}
 		}
@@ -189,78 +190,78 @@
 		}
 		catch (const PlatformError&)
 		{
-			// Whether it took effect isn't known: read before the next write.
+			// It is unknown whether the transaction took effect: read before the next write.
 			absl::MutexLock lock(&this->mutex);
-			for (const ItemPointer& item : _batch)
+			for (const OperationPointer& operation : _batch)
 			{
-				item->rowKnown = false;
+				operation->rowKnown = false;
 			}
-			this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kRetryMs));
+			this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kRetryDelayMs));
 			return;
 		}
 		absl::MutexLock lock(&this->mutex);
 		this->applyRows(result, _batch);
-		for (const Written& written : writers)
+		for (const PendingWrite& write : pendingWrites)
 		{
-			// The claimer may have given up meanwhile: then its row is to be given back.
-			const bool sameWish = written.wish == written.item->wish;
-			written.item->rowKnown = written.item->rowKnown && sameWish;
-			if (result.committed && sameWish)
+			// A claim that timed out meanwhile has become a release: its row must be released.
+			const bool sameKind = write.kind == write.operation->kind;
+			write.operation->rowKnown = write.operation->rowKnown && sameKind;
+			if (result.committed && sameKind)
 			{
-				this->settle(written.item, ClaimEnd::Won);
+				this->complete(write.operation, ClaimResult::Claimed);
 			}
 		}
 	}
 
-	std::vector<Claims::ItemPointer> Claims::takeBatch()
+	std::vector<Claims::OperationPointer> Claims::nextBatch()
 	{
-		std::vector<ItemPointer> batch;
+		std::vector<OperationPointer> batch;
 		const Millis now = nowMs();
-		for (const ItemPointer& item : this->items)
+		for (const OperationPointer& operation : this->operations)
 		{
-			// Two items of one key go into a transaction only in turn. One that merely
-			// watches for a late write stands in nobody's way.
-			const bool keyTaken = std::any_of(batch.begin(), batch.end(), [&](const ItemPointer& _other) {
-				return item->key == _other->key;
+			// A transaction has one operation per key at most. An operation that only
+			// waits for a late write doesn't block others on its key.
+			const bool keyInBatch = std::any_of(batch.begin(), batch.end(), [&](const OperationPointer& _other) {
+				return operation->key == _other->key;
 			});
-			if (!keyTaken && item->dueAt <= now && batch.size() < kMaxBatch)
+			if (!keyInBatch && operation->dueAt <= now && batch.size() < kMaxBatch)
 			{
-				batch.push_back(item);
+				batch.push_back(operation);
 			}
 		}
 		return batch;
 	}
 
-	void Claims::work()
+	void Claims::threadMain()
 	{
 		PlatformClient client(this->platform, this->zone, kPlatformTimeoutMs);
 		while (true)
 		{
-			std::vector<ItemPointer> batch;
+			std::vector<OperationPointer> batch;
 			{
 				absl::MutexLock lock(&this->mutex);
 				const auto hasWork = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
-					return this->stopping || !this->items.empty();
+					return this->stopping || !this->operations.empty();
 				};
 				this->mutex.Await(absl::Condition(&hasWork));
-				if (this->stopping || this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(this->intervalMs())))
+				if (this->stopping || this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(this->batchIntervalMs())))
 				{
 					return;
 				}
-				batch = this->takeBatch();
+				batch = this->nextBatch();
 				if (batch.empty())
 				{
 					const auto hasDue = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
-						return this->stopping || 0 == this->items.back()->dueAt;
+						return this->stopping || 0 == this->operations.back()->dueAt;
 					};
-					this->mutex.AwaitWithTimeout(absl::Condition(&hasDue), absl::Milliseconds(kIdleMs));
+					this->mutex.AwaitWithTimeout(absl::Condition(&hasDue), absl::Milliseconds(kIdleCheckMs));
 					continue;
 				}
 			}
 			this->handleBatch(client, batch);
 			absl::MutexLock lock(&this->mutex);
-			std::erase_if(this->items, [](const ItemPointer& _item) {
-				return _item->settled;
+			std::erase_if(this->operations, [](const OperationPointer& _operation) {
+				return _operation->completed;
 			});
 		}
 	}
--- a/src/entry/claims.h
+++ b/src/entry/claims.h
@@ -1,4 +1,4 @@
-/// Claims of idempotency keys in the platform's table, gathered into few transactions.
+/// Claims of idempotency keys in the platform's table, batched into few transactions.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -15,13 +15,13 @@
 
 namespace archdyke
 {
-	/// How a claim ended.
-	enum class ClaimEnd
+	/// Result of a claim.
+	enum class ClaimResult
 	{
-		Won,        ///< This request alone may be dispatched.
-		AlreadyRan, ///< A request with this key ran before.
-		InDoubt,    ///< Another request with this key may be running, or have run.
-		NoStore,    ///< The table can't be reached; nothing was dispatched.
+		Claimed,          ///< The key is claimed for this request, which may be dispatched.
+		AlreadyRan,       ///< A request with this key ran before.
+		InDoubt,          ///< Another request with this key may be running, or have run.
+		StoreUnavailable, ///< The table is unreachable; nothing was dispatched.
 		Count
 	};
 
@@ -31,62 +31,62 @@
 		Claims(const std::string& _platform, const std::string& _zone, Metrics& _metrics);
 		~Claims();
 
-		/// Claims a key for the request with _nonce. Waits for kClaimTimeoutMs at most.
-		ClaimEnd claim(const std::string& _key, const std::string& _nonce);
+		/// Claims a key for the request with _nonce. Waits for kClaimTimeoutMs or two batch intervals, whichever is longer.
+		ClaimResult claim(const std::string& _key, const std::string& _nonce);
 
-		/// Notes that the request ran. Doesn't wait.
+		/// Records that the request ran. Doesn't wait.
 		void markRan(const std::string& _key, const std::string& _nonce);
 
-		/// Gives the key back: proved that the request did not run. Doesn't wait.
+		/// Releases the key of a request that is proved not to have run. Doesn't wait.
 		void release(const std::string& _key, const std::string& _nonce);
 
-		/// Waits until everything is settled, or for the time given.
+		/// Waits until all operations are completed, _timeoutMs at most.
 		void flush(Millis _timeoutMs);
 
 		/// Sets the number of entries that share the table.
 		void setEntries(std::uint32_t _entries);
 
 	private:
-		enum class Wish
+		enum class OperationKind
 		{
 			Claim,
 			MarkRan,
 			Release
 		};
 
-		/// One thing to do. Lives until it is settled.
-		struct Item
+		/// A queued operation on one key; kept until it is completed.
+		struct Operation
 		{
-			Wish wish = Wish::Claim;
+			OperationKind kind = OperationKind::Claim;
 			std::string key;
 			std::string nonce;
-			Millis giveUpAt = 0;
-			Millis forgetAt = 0;   ///< A release of an absent row is watched until then.
-			Millis dueAt = 0;      ///< Not looked at before.
-			bool rowKnown = false; ///< version and row are as read.
+			Millis timeoutAt = 0;
+			Millis watchUntil = 0; ///< Until when a release checks for a claim written late.
+			Millis dueAt = 0;      ///< Not processed before this time.
+			bool rowKnown = false; ///< Whether version and row are known.
 			std::uint64_t version = 0;
 			std::optional<ClaimRow> row;
-			bool settled = false;
-			ClaimEnd end = ClaimEnd::NoStore;
+			bool completed = false;
+			ClaimResult result = ClaimResult::StoreUnavailable;
 		};
 
-		using ItemPointer = std::shared_ptr<Item>;
+		using OperationPointer = std::shared_ptr<Operation>;
 
-		/// An item and what was written for it.
-		struct Written
+		/// An operation and the kind for which its row was written.
+		struct PendingWrite
 		{
-			ItemPointer item;
-			Wish wish;
+			OperationPointer operation;
+			OperationKind kind;
 		};
 
-		void add(Wish _wish, const std::string& _key, const std::string& _nonce);
-		void work();
-		std::vector<ItemPointer> takeBatch() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-		void handleBatch(PlatformClient& _client, const std::vector<ItemPointer>& _batch);
-		void applyRows(const TableResult& _result, const std::vector<ItemPointer>& _batch);
-		void settle(const ItemPointer& _item, ClaimEnd _end);
-		bool decideItem(const ItemPointer& _item, TableTransaction& _transaction);
-		Millis intervalMs() const;
+		void enqueue(OperationKind _kind, const std::string& _key, const std::string& _nonce);
+		void threadMain();
+		std::vector<OperationPointer> nextBatch() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+		void handleBatch(PlatformClient& _client, const std::vector<OperationPointer>& _batch);
+		void applyRows(const TableResult& _result, const std::vector<OperationPointer>& _batch);
+		void complete(const OperationPointer& _operation, ClaimResult _result);
+		bool prepareOperation(const OperationPointer& _operation, TableTransaction& _transaction);
+		Millis batchIntervalMs() const;
 
 		const std::string platform;
 		const std::string zone;
@@ -94,7 +94,7 @@
 		std::atomic<std::uint32_t> entries{1};
 
 		absl::Mutex mutex;
-		std::deque<ItemPointer> items ABSL_GUARDED_BY(mutex);
+		std::deque<OperationPointer> operations ABSL_GUARDED_BY(mutex);
 		bool stopping ABSL_GUARDED_BY(mutex) = false;
 		std::thread thread;
 	};
--- a/src/entry/config_keeper.cpp
+++ b/src/entry/config_keeper.cpp
@@ -10,7 +10,7 @@
 {
 	namespace
 	{
-		std::int64_t wallMs()
+		std::int64_t wallClockMs()
 		{
 			return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count();
 		}
@@ -27,7 +27,7 @@
 		const std::string source = "configuration version " + std::to_string(_mark.version);
 		if (sha256Hex(_bytes) != _mark.digest)
 		{
-			throw InvalidInputError(source, {{"the document", "bytes with another digest than announced", "apply the file again"}});
+			throw InvalidInputError(source, {{"the document", "bytes whose digest differs from the announced one", "apply the file again"}});
 		}
 		auto config = std::make_shared<ActiveConfig>();
 		config->mark = _mark;
@@ -42,7 +42,7 @@
 	std::shared_ptr<const ActiveConfig> ConfigKeeper::active() const
 	{
 		absl::MutexLock lock(&this->mutex);
-		return this->current;
+		return this->activeConfig;
 	}
 
 	HeldConfig ConfigKeeper::held() const
@@ -54,7 +54,7 @@
 	std::int64_t ConfigKeeper::inForceSinceMs() const
 	{
 		absl::MutexLock lock(&this->mutex);
-		return this->sinceMs;
+		return this->inForceAtMs;
 	}
 
 	std::optional<std::string> ConfigKeeper::bytes(const std::string& _digest) const
@@ -64,15 +64,15 @@
 		return this->bytesByDigest.end() == it ? std::nullopt : std::optional<std::string>(it->second);
 	}
 
-	std::shared_ptr<const ActiveConfig> ConfigKeeper::readyMade(const ConfigMark& _mark) const
+	std::shared_ptr<const ActiveConfig> ConfigKeeper::findStaged(const ConfigMark& _mark) const
 	{
 		absl::MutexLock lock(&this->mutex);
-		return nullptr != this->next && _mark == this->next->mark ? this->next : nullptr;
+		return nullptr != this->stagedConfig && _mark == this->stagedConfig->mark ? this->stagedConfig : nullptr;
 	}
 
 	void ConfigKeeper::accept(const ConfigMark& _mark, const std::string& _bytes)
 	{
-		std::shared_ptr<const ActiveConfig> config = this->readyMade(_mark);
+		std::shared_ptr<const ActiveConfig> config = this->findStaged(_mark);
 		if (nullptr == config)
 		{
 			config = activate(_mark, _bytes);
@@ -82,13 +82,13 @@
 		{
 			return;
 		}
-		this->current = std::move(config);
-		this->next = nullptr;
-		this->sinceMs = wallMs();
+		this->activeConfig = std::move(config);
+		this->stagedConfig = nullptr;
+		this->inForceAtMs = wallClockMs();
 		this->bytesByDigest[_mark.digest] = _bytes;
-		const HeldConfig kept = this->marks;
+		const HeldConfig heldMarks = this->marks;
 		absl::erase_if(this->bytesByDigest, [&](const auto& _item) {
-			return _item.first != kept.head.digest && _item.first != kept.staged.digest;
+			return _item.first != heldMarks.head.digest && _item.first != heldMarks.staged.digest;
 		});
 		logInfo("config_in_force", {{"version", _mark.version}, {"digest", _mark.digest.substr(0, 12)}});
 	}
@@ -99,7 +99,7 @@
 		absl::MutexLock lock(&this->mutex);
 		if (recordStaged(this->marks, _mark))
 		{
-			this->next = std::move(config);
+			this->stagedConfig = std::move(config);
 			this->bytesByDigest[_mark.digest] = _bytes;
 			logInfo("config_staged", {{"version", _mark.version}, {"digest", _mark.digest.substr(0, 12)}});
 		}
--- a/src/entry/config_keeper.h
+++ b/src/entry/config_keeper.h
@@ -1,4 +1,4 @@
-/// The configuration that an entry holds: the version in force, and a staged one.
+/// Holds the configuration of an entry: the version in force, and a staged one.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,7 +13,7 @@
 
 namespace archdyke
 {
-	/// A version in force with what requests look up. Never changes.
+	/// A configuration version, indexed for lookups by requests. Immutable.
 	struct ActiveConfig
 	{
 		ConfigMark mark;
@@ -24,7 +24,8 @@
 		const Organisation* findOrganisation(const std::string& _digest) const;
 	};
 
-	/// @throws InvalidInputError When the bytes aren't a document or have another digest.
+	/// Parses and indexes a configuration version.
+	/// @throws InvalidInputError When the bytes aren't a document or don't match the digest.
 	std::shared_ptr<const ActiveConfig> activate(const ConfigMark& _mark, const std::string& _bytes);
 
 	class ConfigKeeper
@@ -35,29 +36,29 @@
 
 		HeldConfig held() const;
 
-		/// @returns When the version in force came into force here, on the wall clock in
-		/// ms since 1970.
+		/// @returns Wall-clock time at which the version in force was put in force here, ms
+		/// since 1970.
 		std::int64_t inForceSinceMs() const;
 
-		/// @returns Bytes of a version that is held.
+		/// @returns The document with this digest, if it is held.
 		std::optional<std::string> bytes(const std::string& _digest) const;
 
 		/// Puts an accepted version in force, if it is newer.
-		/// @throws InvalidInputError When the bytes don't fit the mark.
+		/// @throws InvalidInputError When the bytes don't match the mark.
 		void accept(const ConfigMark& _mark, const std::string& _bytes);
 
-		/// Holds a staged version.
-		/// @throws InvalidInputError When the bytes don't fit the mark.
+		/// Stores a staged version.
+		/// @throws InvalidInputError When the bytes don't match the mark.
 		void stage(const ConfigMark& _mark, const std::string& _bytes);
 
 	private:
-		std::shared_ptr<const ActiveConfig> readyMade(const ConfigMark& _mark) const;
+		std::shared_ptr<const ActiveConfig> findStaged(const ConfigMark& _mark) const;
 
 		mutable absl::Mutex mutex;
 		HeldConfig marks ABSL_GUARDED_BY(mutex);
-		std::shared_ptr<const ActiveConfig> current ABSL_GUARDED_BY(mutex);
-		std::shared_ptr<const ActiveConfig> next ABSL_GUARDED_BY(mutex); ///< The staged version, read already.
+		std::shared_ptr<const ActiveConfig> activeConfig ABSL_GUARDED_BY(mutex);
+		std::shared_ptr<const ActiveConfig> stagedConfig ABSL_GUARDED_BY(mutex); ///< The staged version, parsed.
 		absl::flat_hash_map<std::string, std::string> bytesByDigest ABSL_GUARDED_BY(mutex);
-		std::int64_t sinceMs ABSL_GUARDED_BY(mutex) = 0;
+		std::int64_t inForceAtMs ABSL_GUARDED_BY(mutex) = 0;
 	};
 } // namespace archdyke
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -18,8 +18,8 @@
 			return names;
 		}
 
-		/// Time between heartbeats that keeps within kHeartbeatsPerSecond, ms.
-		Millis heartbeatFor(std::size_t _links)
+		/// Returns the heartbeat interval that keeps all links together within kHeartbeatsPerSecond, ms.
+		Millis heartbeatIntervalMs(std::size_t _links)
 		{
 			constexpr Millis kMsPerSecond = 1000;
 			return std::max<Millis>(kHeartbeatMs, Millis(_links) * kMsPerSecond / kHeartbeatsPerSecond);
@@ -34,7 +34,7 @@
 	{
 	}
 
-	void Directory::hearVms(const VmChanges& _changes)
+	void Directory::applyVmChanges(const VmChanges& _changes)
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->vmRevision = _changes.revision;
@@ -75,26 +75,26 @@
 		return entries;
 	}
 
-	std::vector<Upstream> Directory::wanted(const ActiveConfig& _config) const
+	std::vector<Upstream> Directory::chooseUpstreams(const ActiveConfig& _config) const
 	{
-		std::vector<Upstream> own;
-		std::vector<Upstream> foreign;
+		std::vector<Upstream> ownZone;
+		std::vector<Upstream> otherZones;
 		for (const Upstream& upstream : _config.document.upstreams)
 		{
 			if (this->vms.contains(upstream.name))
 			{
-				(this->zone == upstream.zone ? own : foreign).push_back(upstream);
+				(this->zone == upstream.zone ? ownZone : otherZones).push_back(upstream);
 			}
 		}
 		std::vector<Upstream> result;
-		const std::uint32_t coverage = own.size() <= kFullMeshAgents ? std::uint32_t(this->zoneEntries().size()) : kAgentCoverage;
-		for (const std::size_t index : chooseSubset(this->name, this->zoneEntries(), namesOf(own), coverage))
+		const std::uint32_t coverage = ownZone.size() <= kFullMeshAgents ? std::uint32_t(this->zoneEntries().size()) : kAgentCoverage;
+		for (const std::size_t index : chooseSubset(this->name, this->zoneEntries(), namesOf(ownZone), coverage))
 		{
-			result.push_back(own[index]);
+			result.push_back(ownZone[index]);
 		}
-		for (const std::size_t index : chooseSample(this->name, namesOf(foreign), kForeignLinks))
+		for (const std::size_t index : chooseSample(this->name, namesOf(otherZones), kForeignLinks))
 		{
-			result.push_back(foreign[index]);
+			result.push_back(otherZones[index]);
 		}
 		return result;
 	}
@@ -112,25 +112,25 @@
 	void Directory::rebuild(const ActiveConfig& _config)
 	{
 		absl::MutexLock lock(&this->mutex);
-		Links next;
-		for (const Upstream& upstream : this->wanted(_config))
+		Links newLinks;
+		for (const Upstream& upstream : this->chooseUpstreams(_config))
 		{
 			const auto old = this->links.find(upstream.name);
 			const bool keep = this->links.end() != old && old->second->identity() == AgentIdentity{upstream.name, upstream.zone, upstream.service};
-			next[upstream.name] = keep ? old->second : this->openLink(upstream);
+			newLinks[upstream.name] = keep ? old->second : this->openLink(upstream);
 		}
 		for (const auto& [linkName, link] : this->links)
 		{
-			const auto it = next.find(linkName);
-			if (next.end() == it || it->second != link)
+			const auto it = newLinks.find(linkName);
+			if (newLinks.end() == it || it->second != link)
 			{
 				link->close();
 			}
 		}
-		this->links = std::move(next);
+		this->links = std::move(newLinks);
 		for (const auto& [linkName, link] : this->links)
 		{
-			link->setHeartbeat(heartbeatFor(this->links.size()));
+			link->setHeartbeat(heartbeatIntervalMs(this->links.size()));
 		}
 		this->publish(_config);
 	}
@@ -148,18 +148,18 @@
 			const bool ownZone = this->zone == link->identity().zone;
 			targets[link->identity().service].push_back({link, stableHash(linkName), ownZone, ownZone ? 0.0 : distanceMs});
 		}
-		this->byService.clear();
+		this->targetsByService.clear();
 		for (auto& [service, list] : targets)
 		{
-			this->byService[service] = std::make_shared<const RouteTargets>(std::move(list));
+			this->targetsByService[service] = std::make_shared<const RouteTargets>(std::move(list));
 		}
 	}
 
 	std::shared_ptr<const RouteTargets> Directory::targets(const std::string& _service) const
 	{
 		absl::MutexLock lock(&this->mutex);
-		const auto it = this->byService.find(_service);
-		return this->byService.end() == it ? nullptr : it->second;
+		const auto it = this->targetsByService.find(_service);
+		return this->targetsByService.end() == it ? nullptr : it->second;
 	}
 
 	std::vector<Vm> Directory::liveEntries() const
@@ -214,6 +214,6 @@
 			link->close();
 		}
 		this->links.clear();
-		this->byService.clear();
+		this->targetsByService.clear();
 	}
 } // namespace archdyke
--- a/src/entry/directory.h
+++ b/src/entry/directory.h
@@ -1,4 +1,4 @@
-/// Who is there: the VMs of the list, and an entry's links to agents.
+/// The VMs of the VM list, and an entry's links to agents.
 #pragma once
 
 #include <absl/container/btree_map.h>
@@ -14,7 +14,7 @@
 
 namespace archdyke
 {
-	/// An agent that requests of a service may go to.
+	/// An agent to which requests of a service may be dispatched.
 	struct RouteTarget
 	{
 		std::shared_ptr<AgentLink> link;
@@ -30,36 +30,36 @@
 	public:
 		Directory(std::vector<RpcLoop*> _loops, std::string _name, std::string _zone, std::uint64_t _incarnation);
 
-		/// Takes in changes of the VM list.
-		void hearVms(const VmChanges& _changes);
+		/// Applies changes of the VM list.
+		void applyVmChanges(const VmChanges& _changes);
 
-		/// @returns Revision of the VM list that is known.
+		/// @returns Revision of the VM list that was applied last.
 		std::uint64_t revision() const;
 
-		/// Opens and closes links so that they fit the configuration and the VM list.
+		/// Opens and closes links to match the configuration and the VM list.
 		void rebuild(const ActiveConfig& _config);
 
 		/// @returns The agents for a service; may be null.
 		std::shared_ptr<const RouteTargets> targets(const std::string& _service) const;
 
-		/// @returns Entries that the list says are live, without this one.
+		/// @returns Entries that are live in the VM list, without this one.
 		std::vector<Vm> liveEntries() const;
 
-		/// @returns Live entries of all zones, this one included.
+		/// @returns Number of live entries in all zones, including this one.
 		std::uint32_t entryCount() const;
 
-		/// @returns VMs of one zone's live agents.
+		/// @returns VMs of the live agents in a zone.
 		std::vector<Vm> liveAgents(const std::string& _zone) const;
 
 		std::vector<AgentLinkView> views() const;
 
-		/// Ends all links.
+		/// Closes all links.
 		void close();
 
 	private:
 		using Links = absl::btree_map<std::string, std::shared_ptr<AgentLink>>;
 
-		std::vector<Upstream> wanted(const ActiveConfig& _config) const ABSL_SHARED_LOCKS_REQUIRED(mutex);
+		std::vector<Upstream> chooseUpstreams(const ActiveConfig& _config) const ABSL_SHARED_LOCKS_REQUIRED(mutex);
 		std::vector<std::string> zoneEntries() const ABSL_SHARED_LOCKS_REQUIRED(mutex);
 		std::shared_ptr<AgentLink> openLink(const Upstream& _upstream) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 		void publish(const ActiveConfig& _config) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
@@ -73,6 +73,6 @@
 		std::uint64_t vmRevision ABSL_GUARDED_BY(mutex) = 0;
 		absl::btree_map<std::string, Vm> vms ABSL_GUARDED_BY(mutex);
 		Links links ABSL_GUARDED_BY(mutex);
-		absl::flat_hash_map<std::string, std::shared_ptr<const RouteTargets>> byService ABSL_GUARDED_BY(mutex);
+		absl::flat_hash_map<std::string, std::shared_ptr<const RouteTargets>> targetsByService ABSL_GUARDED_BY(mutex);
 	};
 } // namespace archdyke
--- a/src/entry/entry_http.cpp
+++ b/src/entry/entry_http.cpp
@@ -19,26 +19,26 @@
 		constexpr std::size_t kMaxIdempotencyKeyBytes = 256;
 		constexpr std::string_view kBearer = "Bearer ";
 
-		std::string errorBody(const FinalAnswer& _answer, const std::string& _requestId)
+		std::string errorBody(const FinalResponse& _final, const std::string& _requestId)
 		{
-			const nlohmann::json error{{"message", _answer.message}, {"reason", _answer.reason}, {"outcome", std::string(toString(_answer.outcome))}, {"requestId", _requestId}, {"retryAfterMs", _answer.retryAfterMs}};
+			const nlohmann::json error{{"message", _final.message}, {"reason", _final.reason}, {"outcome", std::string(toString(_final.outcome))}, {"requestId", _requestId}, {"retryAfterMs", _final.retryAfterMs}};
 			return nlohmann::json{{"error", error}}.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 		}
 
-		void writeFinal(const FinalAnswer& _answer, const std::string& _requestId, httplib::Response& _response)
+		void writeFinalResponse(const FinalResponse& _final, const std::string& _requestId, httplib::Response& _response)
 		{
-			_response.status = _answer.status;
+			_response.status = _final.status;
 			_response.headers.clear();
-			_response.set_header(kOutcomeHeader, std::string(toString(_answer.outcome)));
+			_response.set_header(kOutcomeHeader, std::string(toString(_final.outcome)));
 			_response.set_header("X-Request-Id", _requestId);
-			if (0 < _answer.retryAfterMs)
+			if (0 < _final.retryAfterMs)
 			{
-				_response.set_header("Retry-After", std::to_string((_answer.retryAfterMs + 999) / 1000));
+				_response.set_header("Retry-After", std::to_string((_final.retryAfterMs + 999) / 1000));
 			}
-			_response.set_content(errorBody(_answer, _requestId), kJson);
+			_response.set_content(errorBody(_final, _requestId), kJson);
 		}
 
-		void writeStart(const AnswerStart& _start, const std::string& _requestId, httplib::Response& _response)
+		void writeResponseStart(const ResponseStart& _start, const std::string& _requestId, httplib::Response& _response)
 		{
 			_response.status = _start.status;
 			_response.headers.erase(kOutcomeHeader);
@@ -57,7 +57,7 @@
 			caller.path = _request.path;
 			caller.target = _request.target;
 			const std::string authorization = _request.get_header_value("Authorization");
-			caller.key = authorization.starts_with(kBearer) ? authorization.substr(kBearer.size()) : "";
+			caller.apiKey = authorization.starts_with(kBearer) ? authorization.substr(kBearer.size()) : "";
 			caller.idempotencyKey = _request.get_header_value("Idempotency-Key");
 			caller.markedNotRepeatable = "no" == _request.get_header_value("X-Archdyke-Repeatable");
 			caller.contentType = _request.get_header_value("Content-Type");
@@ -65,7 +65,7 @@
 			return caller;
 		}
 
-		/// Gives what the HTTP library refuses by itself a body that says what to do.
+		/// Adds an explanatory body to the requests that the HTTP library rejects by itself.
 		httplib::Server::HandlerResponse explainRefusal(const httplib::Request&, httplib::Response& _response)
 		{
 			if (!_response.body.empty() || _response.has_header(kOutcomeHeader))
@@ -73,7 +73,7 @@
 				return httplib::Server::HandlerResponse::Unhandled;
 			}
 			const std::string message = kTooLarge == _response.status ? "the body is larger than " + std::to_string(kMaxBodyBytes) + " bytes; send a smaller one" : "the request is malformed, its headers are too long, or it was sent too slowly; send it whole, with no pause of " + std::to_string(kCallerReadSeconds) + " s";
-			writeFinal({_response.status, Outcome::NotRun, 0, "bad_request", message}, "", _response);
+			writeFinalResponse({_response.status, Outcome::NotRun, 0, "bad_request", message}, "", _response);
 			return httplib::Server::HandlerResponse::Handled;
 		}
 
@@ -87,17 +87,17 @@
 	    : ran(_metrics.counter("archdyke_entry_requests_total", "Requests by outcome.", {{"outcome", "ran"}}))
 	    , notRun(_metrics.counter("archdyke_entry_requests_total", "Requests by outcome.", {{"outcome", "not-run"}}))
 	    , unknown(_metrics.counter("archdyke_entry_requests_total", "Requests by outcome.", {{"outcome", "unknown"}}))
-	    , broken(_metrics.counter("archdyke_entry_answers_broken_total", "Answers that ran but could not be completed."))
-	    , abandoned(_metrics.counter("archdyke_entry_callers_gone_total", "Callers that went away before the end."))
-	    , retried(_metrics.counter("archdyke_entry_retries_total", "Tries after the first."))
-	    , resumed(_metrics.counter("archdyke_entry_resumes_total", "Answers that went on after a lost link."))
-	    , droppedFrames(_metrics.counter("archdyke_entry_frames_dropped_total", "Pieces of answers that were late or doubled."))
-	    , firstByteSeconds(_metrics.seconds("archdyke_entry_first_byte_seconds", "From request to first byte of the answer."))
-	    , totalSeconds(_metrics.seconds("archdyke_entry_request_seconds", "From request to end of the answer."))
+	    , broken(_metrics.counter("archdyke_entry_answers_broken_total", "Responses of started runs that could not be completed."))
+	    , abandoned(_metrics.counter("archdyke_entry_callers_gone_total", "Callers that disconnected before the end of the response."))
+	    , retried(_metrics.counter("archdyke_entry_retries_total", "Attempts after the first."))
+	    , resumed(_metrics.counter("archdyke_entry_resumes_total", "Responses resumed after a lost link."))
+	    , droppedFrames(_metrics.counter("archdyke_entry_frames_dropped_total", "Response frames dropped as late or duplicate."))
+	    , firstByteSeconds(_metrics.seconds("archdyke_entry_first_byte_seconds", "Time from the request to the first byte of the response."))
+	    , totalSeconds(_metrics.seconds("archdyke_entry_request_seconds", "Time from the request to the end of the response."))
 	{
 	}
 
-	/// One request from its arrival to its end.
+	/// State of one request from its arrival to its end.
 	struct EntryHttp::Exchange
 	{
 		explicit Exchange(EntryHttp& _http)
@@ -120,7 +120,7 @@
 		ResolvedRequest request;
 		std::string claimedKey;
 		std::unique_ptr<RequestRun> run;
-		std::string failure; ///< What a broken stream tells its caller.
+		std::string failure; ///< Error text for the caller of a broken stream.
 		bool ended = false;
 	};
 
@@ -178,7 +178,7 @@
 		const std::shared_ptr<const ActiveConfig> config = this->parts.keeper.active();
 		if (nullptr == config || !this->parts.guard.isFresh())
 		{
-			throw notRun(kUnavailable, "no_config", "this entry is finding out which configuration is in force; come back after the time in Retry-After", kLeavingRetryMs);
+			throw notRun(kUnavailable, "no_config", "this entry is finding out which configuration is in force; retry after the time in Retry-After", kLeavingRetryMs);
 		}
 		const Organisation& organisation = authenticate(*config, _exchange.caller);
 		limitRate(this->limits, organisation, this->parts.directory.entryCount(), _exchange.caller.receivedAt);
@@ -197,25 +197,25 @@
 		}
 		const std::string key = archdyke::claimKey(_exchange.request.service.name, _exchange.request.organisation.name, _exchange.caller.idempotencyKey);
 		const Millis begunAt = nowMs();
-		const ClaimEnd end = this->parts.claims.claim(key, _exchange.request.id);
-		if (ClaimEnd::Won == end)
+		const ClaimResult end = this->parts.claims.claim(key, _exchange.request.id);
+		if (ClaimResult::Claimed == end)
 		{
 			_exchange.claimedKey = key;
 			if (kClaimFreshMs < nowMs() - begunAt)
 			{
-				throw notRun(kUnavailable, "claim_old", "this entry was held up for too long; come back after the time in Retry-After", kLeavingRetryMs);
+				throw notRun(kUnavailable, "claim_old", "this entry was paused for too long; retry after the time in Retry-After", kLeavingRetryMs);
 			}
 			return;
 		}
-		if (ClaimEnd::NoStore == end)
+		if (ClaimResult::StoreUnavailable == end)
 		{
-			throw notRun(kUnavailable, "no_store", "the platform's table can't be reached, so the Idempotency-Key can't be claimed; come back after the time in Retry-After", 2 * kLeavingRetryMs);
+			throw notRun(kUnavailable, "no_store", "the platform's table can't be reached, so the Idempotency-Key can't be claimed; retry after the time in Retry-After", 2 * kLeavingRetryMs);
 		}
-		const bool ran = ClaimEnd::AlreadyRan == end;
+		const bool ran = ClaimResult::AlreadyRan == end;
 		throw RejectedError({kConflict, ran ? Outcome::Ran : Outcome::Unknown, 0, ran ? "already_ran" : "in_doubt", ran ? "a request with this Idempotency-Key has run before; it was not run again" : "a request with this Idempotency-Key may be running or have run; it was not run again; check before you send a new key"});
 	}
 
-	void EntryHttp::account(Exchange& _exchange, Outcome _outcome)
+	void EntryHttp::recordOutcome(Exchange& _exchange, Outcome _outcome)
 	{
 		if (_exchange.ended)
 		{
@@ -243,8 +243,8 @@
 
 	void EntryHttp::reject(Exchange& _exchange, const RejectedError& _error, httplib::Response& _response)
 	{
-		writeFinal(_error.answer, _exchange.request.id, _response);
-		this->account(_exchange, _error.answer.outcome);
+		writeFinalResponse(_error.response, _exchange.request.id, _response);
+		this->recordOutcome(_exchange, _error.response.outcome);
 	}
 
 	void EntryHttp::handle(const httplib::Request& _request, httplib::Response& _response)
@@ -256,9 +256,9 @@
 			this->claimKey(*exchange);
 			const RunContext context{this->parts.directory, this->retries, this->parts.counters.retried, this->parts.counters.resumed, this->parts.counters.droppedFrames};
 			exchange->run = std::make_unique<RequestRun>(context, exchange->request, exchange->caller);
-			const AnswerStart start = exchange->run->begin();
+			const ResponseStart start = exchange->run->begin();
 			this->parts.counters.firstByteSeconds.Observe(double(nowMs() - exchange->caller.receivedAt) / 1000.0);
-			writeStart(start, exchange->request.id, _response);
+			writeResponseStart(start, exchange->request.id, _response);
 			if (exchange->request.streamed)
 			{
 				_response.set_chunked_content_provider(start.contentType, [this, exchange](std::size_t, httplib::DataSink& _sink) {
@@ -266,7 +266,7 @@
 				});
 				return;
 			}
-			this->answerWhole(exchange, _response);
+			this->sendWholeResponse(exchange, _response);
 		}
 		catch (const RejectedError& error)
 		{
@@ -274,7 +274,7 @@
 		}
 	}
 
-	void EntryHttp::answerWhole(const std::shared_ptr<Exchange>& _exchange, httplib::Response& _response)
+	void EntryHttp::sendWholeResponse(const std::shared_ptr<Exchange>& _exchange, httplib::Response& _response)
 	{
 		std::string body;
 		while (true)
@@ -290,16 +290,16 @@
 			catch (const RejectedError& error)
 			{
 				this->parts.counters.broken.Increment();
-				writeStart(_exchange->run->restart(error), _exchange->request.id, _response);
+				writeResponseStart(_exchange->run->restart(error), _exchange->request.id, _response);
 				body.clear();
 			}
 		}
 		_response.set_content(body, _exchange->run->contentType());
-		this->account(*_exchange, Outcome::Ran);
+		this->recordOutcome(*_exchange, Outcome::Ran);
 	}
 
-	/// Relays a stream. A stream that breaks ends with an error event and without the
-	/// last chunk of its encoding, so that no caller takes it for whole.
+	/// Relays a stream. A broken stream ends with an error event and without the final chunk
+	/// of the chunked encoding, so that no caller takes it for complete.
 	bool EntryHttp::relay(const std::shared_ptr<Exchange>& _exchange, httplib::DataSink& _sink)
 	{
 		try
@@ -307,14 +307,14 @@
 			const std::optional<std::string> bytes = _exchange->run->next();
 			if (!bytes)
 			{
-				this->account(*_exchange, Outcome::Ran);
+				this->recordOutcome(*_exchange, Outcome::Ran);
 				_sink.done();
 				return true;
 			}
 			if (!_sink.write(bytes->data(), bytes->size()))
 			{
 				this->parts.counters.abandoned.Increment();
-				this->account(*_exchange, Outcome::Ran);
+				this->recordOutcome(*_exchange, Outcome::Ran);
 				return false;
 			}
 			return true;
@@ -322,9 +322,9 @@
 		catch (const RejectedError& error)
 		{
 			this->parts.counters.broken.Increment();
-			const std::string event = "data: " + errorBody(error.answer, _exchange->request.id) + "\n\n";
+			const std::string event = "data: " + errorBody(error.response, _exchange->request.id) + "\n\n";
 			_sink.write(event.data(), event.size());
-			this->account(*_exchange, error.answer.outcome);
+			this->recordOutcome(*_exchange, error.response.outcome);
 			return false;
 		}
 	}
--- a/src/entry/entry_http.h
+++ b/src/entry/entry_http.h
@@ -1,5 +1,5 @@
-/// The callers' side of an entry: turns HTTP requests into requests of the pipeline and
-/// their ends into answers.
+/// The HTTP interface of an entry for callers: passes HTTP requests to the pipeline and
+/// sends the responses.
 #pragma once
 
 #include <atomic>
@@ -33,7 +33,7 @@
 		prometheus::Histogram& totalSeconds;
 	};
 
-	/// What the pipeline works on.
+	/// Parts of the entry that the pipeline uses.
 	struct EntryParts
 	{
 		ConfigKeeper& keeper;
@@ -48,16 +48,16 @@
 	public:
 		EntryHttp(EntryParts _parts, std::uint64_t _incarnation);
 
-		/// Adds the callers' routes.
+		/// Registers the HTTP routes for callers.
 		void addRoutes(HttpServer& _server);
 
-		/// From now on new requests are refused as not run.
+		/// Rejects all new requests as not run from now on.
 		void leave();
 
-		/// @returns Whether new requests are taken.
+		/// @returns Whether new requests are accepted.
 		bool isReady();
 
-		/// @returns Requests being served.
+		/// @returns Number of requests in progress.
 		std::size_t inFlight() const;
 
 	private:
@@ -66,9 +66,9 @@
 		void handle(const httplib::Request& _request, httplib::Response& _response);
 		void admit(const httplib::Request& _request, Exchange& _exchange);
 		void claimKey(Exchange& _exchange);
-		void answerWhole(const std::shared_ptr<Exchange>& _exchange, httplib::Response& _response);
+		void sendWholeResponse(const std::shared_ptr<Exchange>& _exchange, httplib::Response& _response);
 		bool relay(const std::shared_ptr<Exchange>& _exchange, httplib::DataSink& _sink);
-		void account(Exchange& _exchange, Outcome _outcome);
+		void recordOutcome(Exchange& _exchange, Outcome _outcome);
 		void reject(Exchange& _exchange, const RejectedError& _error, httplib::Response& _response);
 		std::string newRequestId();
 
--- a/src/entry/entry_main.cpp
+++ b/src/entry/entry_main.cpp
@@ -1,4 +1,4 @@
-/// archdyke-entry: takes callers' requests and decides where each one runs.
+/// archdyke-entry: accepts callers' requests and chooses the agent that runs each one.
 #include <absl/synchronization/notification.h>
 #include <array>
 
@@ -15,11 +15,11 @@
 {
 	namespace
 	{
-		/// How long a stopping entry goes on refusing new requests after its last one, ms.
-		constexpr Millis kLingerMs = 500;
-		constexpr Millis kFlushMs = 2'000;
+		/// Time for which a stopping entry still rejects new requests after the last one in progress has ended, ms.
+		constexpr Millis kIdleBeforeStopMs = 500;
+		constexpr Millis kClaimFlushTimeoutMs = 2'000;
 
-		/// The parts of an entry, in the order in which they are made.
+		/// The parts of an entry, in the order of their construction.
 		class EntryProcess
 		{
 		public:
@@ -34,7 +34,7 @@
 			{
 				this->listener = std::make_unique<RpcListener>(this->loops[0], parseAddress(this->settings.rpc), [this] {
 					return makePeerServer({[this](const PeerState& _peer) {
-						return this->hearPeer(_peer);
+						return this->exchangePeerState(_peer);
 					                       },
 					                       [this](const std::string& _digest) {
 						return this->keeper.bytes(_digest);
@@ -52,21 +52,21 @@
 					this->leave("drain");
 				}});
 				this->admin.routes().Post("/accepted", [this](const httplib::Request& _request, httplib::Response& _response) {
-					this->hearAccepted(_request, _response);
+					this->handleAccepted(_request, _response);
 				});
 				const Address httpAddress = this->server.start(parseAddress(this->settings.http));
 				const Address adminAddress = this->admin.start(parseAddress(this->settings.admin));
 				logInfo("listening", {{"name", this->settings.name}, {"http", toString(httpAddress)}, {"rpc", toString(this->listener->address())}, {"admin", toString(adminAddress)}, {"incarnation", toHex(this->incarnation)}});
 			}
 
-			/// Refuses new requests, lets those in flight end, then ends.
+			/// Rejects new requests, waits for those in progress, then stops all parts.
 			void stop()
 			{
 				this->leave("signal");
 				this->planner->stop();
 				const Millis until = nowMs() + kMaxDeadlineMs;
 				Millis idleSince = nowMs();
-				while (nowMs() < until && nowMs() < idleSince + kLingerMs)
+				while (nowMs() < until && nowMs() < idleSince + kIdleBeforeStopMs)
 				{
 					absl::Notification never;
 					never.WaitForNotificationWithTimeout(absl::Milliseconds(20));
@@ -75,7 +75,7 @@
 				logInfo("stopping", {{"unfinished", this->http.inFlight()}});
 				this->planner.reset();
 				this->server.stop();
-				this->claims.flush(kFlushMs);
+				this->claims.flush(kClaimFlushTimeoutMs);
 				this->admin.stop();
 				this->listener.reset();
 				this->watcher.reset();
@@ -88,10 +88,10 @@
 			}
 
 		private:
-			PeerState hearPeer(const PeerState& _peer)
+			PeerState exchangePeerState(const PeerState& _peer)
 			{
-				this->watcher->hearPeer(_peer);
-				return this->watcher->myState();
+				this->watcher->recordPeerState(_peer);
+				return this->watcher->ownState();
 			}
 
 			void leave(const std::string& _why)
@@ -104,13 +104,13 @@
 				this->watcher->leave();
 			}
 
-			/// An operator's command says that a staged version was accepted.
-			void hearAccepted(const httplib::Request& _request, httplib::Response& _response)
+			/// Handles the notice of an operator's command that the staged version was accepted.
+			void handleAccepted(const httplib::Request& _request, httplib::Response& _response)
 			{
 				const nlohmann::json body = nlohmann::json::parse(_request.body, nullptr, false);
 				const HeldConfig held = this->keeper.held();
-				const bool fits = body.is_object() && body.value("version", std::uint64_t(0)) == held.staged.version && body.value("digest", std::string()) == held.staged.digest && 0 != held.staged.version;
-				const std::optional<std::string> bytes = fits ? this->keeper.bytes(held.staged.digest) : std::nullopt;
+				const bool isStaged = body.is_object() && body.value("version", std::uint64_t(0)) == held.staged.version && body.value("digest", std::string()) == held.staged.digest && 0 != held.staged.version;
+				const std::optional<std::string> bytes = isStaged ? this->keeper.bytes(held.staged.digest) : std::nullopt;
 				if (bytes)
 				{
 					this->keeper.accept(held.staged, *bytes);
@@ -129,7 +129,7 @@
 				nlohmann::json groups = nlohmann::json::array();
 				for (const GroupView& view : this->planner->views())
 				{
-					groups.push_back({{"group", view.group}, {"epoch", view.epoch}, {"skew", view.skew}, {"proposals", view.proposals}, {"last", view.last}});
+					groups.push_back({{"group", view.group}, {"epoch", view.epoch}, {"skew", view.skew}, {"proposals", view.proposals}, {"last", view.lastEvent}});
 				}
 				return {{"name", this->settings.name}, {"role", "entry"}, {"planner", this->planner->acting()}, {"groups", groups}, {"zone", this->settings.zone}, {"version", kVersion}, {"incarnation", toHex(this->incarnation)}, {"ready", this->http.isReady()}, {"inFlight", this->http.inFlight()}, {"platformUp", this->watcher->platformUp()}, {"config", {{"version", held.head.version}, {"digest", held.head.digest}, {"inForceSinceMs", this->keeper.inForceSinceMs()}, {"staged", held.staged.version}, {"inDoubtMs", this->watcher->inDoubtMs()}}}, {"agents", agents}};
 			}
@@ -155,5 +155,5 @@
 
 int main(int _argc, char** _argv)
 {
-	return archdyke::runDaemon<archdyke::EntryProcess>("archdyke-entry", "Takes callers' requests and decides where each one runs.", archdyke::loadEntrySettings, _argc, _argv);
+	return archdyke::runDaemon<archdyke::EntryProcess>("archdyke-entry", "Accepts callers' requests and chooses the agent that runs each one.", archdyke::loadEntrySettings, _argc, _argv);
 }
--- a/src/entry/filters.cpp
+++ b/src/entry/filters.cpp
@@ -15,7 +15,7 @@
 		constexpr int kUnauthorized = 401;
 		constexpr int kNotFound = 404;
 		constexpr int kTooManyRequests = 429;
-		/// Bytes of the prompt that make its prefix.
+		/// Bytes of the prompt that are hashed as its prefix.
 		constexpr std::size_t kPrefixBytes = 512;
 		constexpr std::string_view kModelPathPrefix = "/v1/";
 
@@ -33,7 +33,7 @@
 			}
 			if (!body.contains("model") || !body["model"].is_string())
 			{
-				throw rejected(kBadRequest, "bad_json", "the field \"model\" is missing or not a text; name one of the services");
+				throw rejected(kBadRequest, "bad_json", "the field \"model\" is missing or not a string; set it to the name of a service");
 			}
 			return body;
 		}
@@ -44,7 +44,7 @@
 			return stableHash(messages.dump(-1, ' ', false, Json::error_handler_t::replace).substr(0, kPrefixBytes), stableHash(_organisation));
 		}
 
-		const Service& findKind(const ActiveConfig& _config, const std::string& _name, ServiceKind _kind)
+		const Service& findServiceOfKind(const ActiveConfig& _config, const std::string& _name, ServiceKind _kind)
 		{
 			const Service* service = findService(_config.document, _name);
 			if (nullptr == service || _kind != service->kind)
@@ -57,13 +57,13 @@
 		void resolveModel(const ActiveConfig& _config, const CallerRequest& _request, ResolvedRequest& _resolved)
 		{
 			const Json body = parseModelBody(_request.body);
-			_resolved.service = findKind(_config, body["model"].get<std::string>(), ServiceKind::Model);
+			_resolved.service = findServiceOfKind(_config, body["model"].get<std::string>(), ServiceKind::Model);
 			_resolved.upstreamPath = _request.path;
 			_resolved.streamed = body.contains("stream") && body["stream"].is_boolean() && body["stream"].get<bool>();
 			_resolved.prefix = prefixOf(body, _resolved.organisation.name);
 		}
 
-		/// Refuses paths that an upstream may read as another path than the rules do.
+		/// Rejects paths that an upstream may normalise to a path other than the one that the rules matched.
 		void checkPath(const std::string& _path)
 		{
 			const std::string probe = _path + "/";
@@ -77,14 +77,14 @@
 		{
 			const std::size_t slash = _request.path.find('/', 1);
 			const std::string name = _request.path.substr(1, std::string::npos == slash ? std::string::npos : slash - 1);
-			_resolved.service = findKind(_config, name, ServiceKind::Plain);
+			_resolved.service = findServiceOfKind(_config, name, ServiceKind::Plain);
 			const std::string path = std::string::npos == slash ? "/" : _request.path.substr(slash);
 			if ("/" != path)
 			{
 				checkPath(path.ends_with('/') ? path.substr(0, path.size() - 1) : path);
 			}
-			const std::size_t rawSlash = _request.target.find('/', 1);
-			_resolved.upstreamPath = std::string::npos == rawSlash ? "/" : _request.target.substr(rawSlash);
+			const std::size_t targetSlash = _request.target.find('/', 1);
+			_resolved.upstreamPath = std::string::npos == targetSlash ? "/" : _request.target.substr(targetSlash);
 			_resolved.repeatable = isRepeatableCall(_resolved.service, _request.method, path);
 		}
 	} // namespace
@@ -98,7 +98,7 @@
 
 	const Organisation& authenticate(const ActiveConfig& _config, const CallerRequest& _request)
 	{
-		const Organisation* organisation = _request.key.empty() ? nullptr : _config.findOrganisation(sha256Hex(_request.key));
+		const Organisation* organisation = _request.apiKey.empty() ? nullptr : _config.findOrganisation(sha256Hex(_request.apiKey));
 		if (nullptr == organisation)
 		{
 			throw rejected(kUnauthorized, "unknown_key", "the key is missing or unknown; send \"Authorization: Bearer KEY\" with your organisation's key");
@@ -112,7 +112,7 @@
 		const std::optional<Millis> wait = _limits.take(_organisation.name, share, _now);
 		if (wait)
 		{
-			throw rejected(kTooManyRequests, "over_limit", "organisation \"" + _organisation.name + "\" is over its limit; come back after the time in Retry-After", *wait);
+			throw rejected(kTooManyRequests, "over_limit", "organisation \"" + _organisation.name + "\" is over its limit; retry after the time in Retry-After", *wait);
 		}
 	}
 
--- a/src/entry/filters.h
+++ b/src/entry/filters.h
@@ -1,4 +1,4 @@
-/// The filters that look at a request before it is dispatched.
+/// The filters that a request passes before it is dispatched.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -12,12 +12,12 @@
 
 namespace archdyke
 {
-	/// Buckets of all organisations, in shards.
+	/// Token buckets of all organisations, in shards.
 	class OrganisationLimits
 	{
 	public:
-		/// Takes a token of an organisation.
-		/// @returns Nothing, or the time until there is one, ms.
+		/// Takes a token from an organisation's bucket.
+		/// @returns Nothing on success; else the time until a token is available, ms.
 		std::optional<Millis> take(const std::string& _organisation, const RateLimit& _share, Millis _now);
 
 	private:
@@ -32,14 +32,15 @@
 		std::array<Shard, kShards> shards;
 	};
 
-	/// @returns The organisation whose key the request bears.
-	/// @throws RejectedError 401.
+	/// @returns The organisation whose key the request has.
+	/// @throws RejectedError 401 when the key is missing or unknown.
 	const Organisation& authenticate(const ActiveConfig& _config, const CallerRequest& _request);
 
-	/// @throws RejectedError 429, with the time to come back.
+	/// Applies this entry's share of the organisation's rate limit.
+	/// @throws RejectedError 429, with the retry delay.
 	void limitRate(OrganisationLimits& _limits, const Organisation& _organisation, std::uint32_t _entries, Millis _now);
 
-	/// Finds the service and what the request asks of it.
+	/// Finds the service and resolves the upstream path, the deadline and whether the request is repeatable.
 	/// @throws RejectedError 400 or 404.
 	ResolvedRequest resolve(const ActiveConfig& _config, const Organisation& _organisation, const CallerRequest& _request, std::string _id);
 } // namespace archdyke
--- a/src/entry/peers.cpp
+++ b/src/entry/peers.cpp
@@ -68,40 +68,40 @@
 	{
 	}
 
-	std::vector<PeerAnswer> PeerCalls::exchange(const std::vector<std::string>& _addresses, const PeerState& _mine, Millis _timeoutMs)
+	std::vector<PeerResponse> PeerCalls::exchange(const std::vector<std::string>& _addresses, const PeerState& _mine, Millis _timeoutMs)
 	{
-		auto gathering = std::make_shared<Gathering<PeerAnswer>>(_addresses.size());
+		auto collector = std::make_shared<ResponseCollector<PeerResponse>>(_addresses.size());
 		for (const std::string& address : _addresses)
 		{
-			const auto request = [gathering, mine = _mine, address](rpc::Peer::Client& _peer) {
+			const auto request = [collector, mine = _mine, address](rpc::Peer::Client& _peer) {
 				auto call = _peer.exchangeRequest();
 				writeState(call.initMine(), mine);
-				return call.send().then([gathering, address](capnp::Response<rpc::Peer::ExchangeResults>&& _response) {
-					gathering->add(PeerAnswer{address, readState(_response.getTheirs())});
+				return call.send().then([collector, address](capnp::Response<rpc::Peer::ExchangeResults>&& _response) {
+					collector->add(PeerResponse{address, readState(_response.getTheirs())});
 				});
 			};
-			this->pool.call(address, _timeoutMs, request, [gathering] {
-				gathering->add(std::nullopt);
+			this->pool.call(address, _timeoutMs, request, [collector] {
+				collector->add(std::nullopt);
 			});
 		}
-		return gathering->wait(_timeoutMs);
+		return collector->wait(_timeoutMs);
 	}
 
 	std::optional<std::string> PeerCalls::document(const std::string& _address, const std::string& _digest, Millis _timeoutMs)
 	{
-		auto gathering = std::make_shared<Gathering<std::string>>(1);
-		const auto request = [gathering, digest = _digest](rpc::Peer::Client& _peer) {
+		auto collector = std::make_shared<ResponseCollector<std::string>>(1);
+		const auto request = [collector, digest = _digest](rpc::Peer::Client& _peer) {
 			auto call = _peer.documentRequest();
 			call.setDigest(digest);
-			return call.send().then([gathering](capnp::Response<rpc::Peer::DocumentResults>&& _response) {
+			return call.send().then([collector](capnp::Response<rpc::Peer::DocumentResults>&& _response) {
 				const capnp::Data::Reader bytes = _response.getBytes();
-				gathering->add(_response.getFound() ? std::optional<std::string>(std::in_place, reinterpret_cast<const char*>(bytes.begin()), bytes.size()) : std::nullopt);
+				collector->add(_response.getFound() ? std::optional<std::string>(std::in_place, reinterpret_cast<const char*>(bytes.begin()), bytes.size()) : std::nullopt);
 			});
 		};
-		this->pool.call(_address, _timeoutMs, request, [gathering] {
-			gathering->add(std::nullopt);
+		this->pool.call(_address, _timeoutMs, request, [collector] {
+			collector->add(std::nullopt);
 		});
-		const std::vector<std::string> found = gathering->wait(_timeoutMs);
+		const std::vector<std::string> found = collector->wait(_timeoutMs);
 		return found.empty() ? std::nullopt : std::optional<std::string>(found.front());
 	}
 } // namespace archdyke
--- a/src/entry/peers.h
+++ b/src/entry/peers.h
@@ -1,5 +1,5 @@
-/// Entries among themselves: each tells the others which configuration it holds, and
-/// hands over documents.
+/// Calls between entries: each reports which configuration it holds to the others, and
+/// serves documents to them.
 #pragma once
 
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace archdyke
 {
-	/// What an entry says of itself.
+	/// State that an entry reports to its peers.
 	struct PeerState
 	{
 		std::string name;
@@ -26,36 +26,36 @@
 		bool operator==(const PeerState&) const = default;
 	};
 
-	/// What came back from one peer.
-	struct PeerAnswer
+	/// Response of one peer.
+	struct PeerResponse
 	{
 		std::string address;
 		PeerState state;
 
-		bool operator==(const PeerAnswer&) const = default;
+		bool operator==(const PeerResponse&) const = default;
 	};
 
-	/// How an entry serves its peers. Called on the loop's thread; must not block.
+	/// Handlers for calls from peers. Run on the loop's thread; must not block.
 	struct PeerHandlers
 	{
 		std::function<PeerState(const PeerState&)> exchange;
 		std::function<std::optional<std::string>(const std::string&)> document;
 	};
 
-	/// @returns A server for peers. On the loop's thread.
+	/// @returns A server for calls from peers. Call it on the loop's thread.
 	rpc::Peer::Client makePeerServer(PeerHandlers _handlers);
 
-	/// Calls to peers. Its methods block and are for one thread.
+	/// Makes calls to peers. Its methods block; use it from one thread.
 	class PeerCalls
 	{
 	public:
 		explicit PeerCalls(RpcLoop& _loop);
 
 		/// Exchanges states with several peers at once.
-		/// @returns The answers that came in time.
-		std::vector<PeerAnswer> exchange(const std::vector<std::string>& _addresses, const PeerState& _mine, Millis _timeoutMs);
+		/// @returns The responses received within the timeout.
+		std::vector<PeerResponse> exchange(const std::vector<std::string>& _addresses, const PeerState& _mine, Millis _timeoutMs);
 
-		/// @returns The document; none when the peer hasn't got it or doesn't answer.
+		/// @returns The document; none when the peer doesn't have it or doesn't respond.
 		std::optional<std::string> document(const std::string& _address, const std::string& _digest, Millis _timeoutMs);
 
 	private:
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -16,16 +16,16 @@
 	{
 		using Json = nlohmann::json;
 
-		/// Between two looks at a group's counts, ms.
-		constexpr Millis kWindowMs = 1'000;
+		/// Interval between checks of a group's counts, ms.
+		constexpr Millis kPlanIntervalMs = 1'000;
 		constexpr Millis kCallTimeoutMs = 800;
 		constexpr Millis kStageTimeoutMs = 10'000;
-		/// Tokens of a window below which its counts say nothing.
-		constexpr double kLeastTokens = 200.0;
-		/// Experts of a layer that a rank can hold beyond its even share.
+		/// Tokens per layer below which a window has too few counts to plan with.
+		constexpr double kMinTokensPerLayer = 200.0;
+		/// Experts of a layer that a rank can hold in addition to its even share.
 		constexpr std::uint32_t kSpareSlots = 1;
-		/// A number is the fence in the high bits and a count in the low ones.
-		constexpr unsigned kNumberBits = 24;
+		/// Low bits of a proposal number, which hold a count; the high bits hold the fence.
+		constexpr unsigned kNumberCountBits = 24;
 
 		std::string encodeLease(const LeaseRow& _row)
 		{
@@ -69,10 +69,10 @@
 	    , directory(_directory)
 	    , agents(_loop)
 	    , proposals(_metrics.counter("archdyke_entry_map_proposals_total", "Map switches proposed by this entry."))
-	    , stagedExperts(_metrics.counter("archdyke_entry_map_experts_staged_total", "Experts that ranks were told to load."))
+	    , stagedExperts(_metrics.counter("archdyke_entry_map_experts_staged_total", "Experts staged on ranks for proposed maps."))
 	    , platform(_settings.platform, _settings.zone, kPlatformTimeoutMs)
 	    , thread([this] {
-		    this->work();
+		    this->threadMain();
 	    })
 	{
 		this->lease.self = _incarnation;
@@ -110,32 +110,32 @@
 		}
 		catch (const PlatformError&)
 		{
-			// It lapses by itself.
+			// The lease expires by itself.
 		}
 	}
 
 	bool Planner::acting()
 	{
 		absl::MutexLock lock(&this->mutex);
-		return this->holds;
+		return this->leaseHeld;
 	}
 
 	std::vector<GroupView> Planner::views()
 	{
 		absl::MutexLock lock(&this->mutex);
-		return this->published;
+		return this->publishedViews;
 	}
 
-	/// A few entries of the zone watch the lease; the rest cost the table nothing.
+	/// Only kLeaseCandidates entries of the zone compete for the lease, which limits the load on the table.
 	bool Planner::isCandidate() const
 	{
-		const std::uint64_t mine = stableHash(this->settings.name);
-		std::size_t before = 0;
+		const std::uint64_t ownHash = stableHash(this->settings.name);
+		std::size_t higherRanked = 0;
 		for (const Vm& vm : this->directory.liveEntries())
 		{
-			before += this->settings.zone == vm.zone && stableHash(vm.name) > mine ? 1 : 0;
+			higherRanked += this->settings.zone == vm.zone && stableHash(vm.name) > ownHash ? 1 : 0;
 		}
-		return before < kLeaseCandidates;
+		return higherRanked < kLeaseCandidates;
 	}
 
 	void Planner::renewLease()
@@ -158,28 +158,28 @@
 		}
 	}
 
-	std::vector<Planner::Group> Planner::groups(const ActiveConfig& _config) const
+	std::vector<Planner::Group> Planner::completeGroups(const ActiveConfig& _config) const
 	{
 		std::map<std::string, std::string> addresses;
 		for (const Vm& vm : this->directory.liveAgents(this->settings.zone))
 		{
 			addresses[vm.name] = vm.rpc;
 		}
-		std::map<std::string, Group> found;
+		std::map<std::string, Group> groupsByName;
 		for (const Upstream& upstream : _config.document.upstreams)
 		{
 			if (this->settings.zone != upstream.zone || upstream.group.empty())
 			{
 				continue;
 			}
-			Group& group = found[upstream.group];
+			Group& group = groupsByName[upstream.group];
 			group.name = upstream.group;
 			group.service = findService(_config.document, upstream.service);
 			group.agents.resize(std::max<std::size_t>(group.agents.size(), upstream.rank + 1));
 			group.agents[upstream.rank] = addresses[upstream.name];
 		}
 		std::vector<Group> result;
-		for (auto& [name, group] : found)
+		for (auto& [name, group] : groupsByName)
 		{
 			const bool complete = group.agents.end() == std::find(group.agents.begin(), group.agents.end(), "");
 			if (complete)
@@ -190,29 +190,29 @@
 		return result;
 	}
 
-	std::vector<RankReport> Planner::reports(const Group& _group)
+	std::vector<RankReport> Planner::fetchReports(const Group& _group)
 	{
-		using Numbered = std::pair<std::size_t, RankReport>;
-		auto gathering = std::make_shared<Gathering<Numbered>>(_group.agents.size());
+		using RankedReport = std::pair<std::size_t, RankReport>;
+		auto collector = std::make_shared<ResponseCollector<RankedReport>>(_group.agents.size());
 		for (std::size_t rank = 0; rank < _group.agents.size(); ++rank)
 		{
-			const auto request = [gathering, rank](rpc::Agent::Client& _agent) {
+			const auto request = [collector, rank](rpc::Agent::Client& _agent) {
 				auto call = _agent.reportRequest();
 				call.setWithLoad(true);
-				return call.send().then([gathering, rank](capnp::Response<rpc::Agent::ReportResults>&& _response) {
-					gathering->add(Numbered{rank, readReport(_response.getReport())});
+				return call.send().then([collector, rank](capnp::Response<rpc::Agent::ReportResults>&& _response) {
+					collector->add(RankedReport{rank, readReport(_response.getReport())});
 				});
 			};
-			this->agents.call(_group.agents[rank], kCallTimeoutMs, request, [gathering] {
-				gathering->add(std::nullopt);
+			this->agents.call(_group.agents[rank], kCallTimeoutMs, request, [collector] {
+				collector->add(std::nullopt);
 			});
 		}
-		std::vector<Numbered> numbered = gathering->wait(kCallTimeoutMs);
-		std::sort(numbered.begin(), numbered.end(), [](const Numbered& _a, const Numbered& _b) {
+		std::vector<RankedReport> rankedReports = collector->wait(kCallTimeoutMs);
+		std::sort(rankedReports.begin(), rankedReports.end(), [](const RankedReport& _a, const RankedReport& _b) {
 			return _a.first < _b.first;
 		});
 		std::vector<RankReport> result;
-		for (Numbered& item : numbered)
+		for (RankedReport& item : rankedReports)
 		{
 			result.push_back(std::move(item.second));
 		}
@@ -221,34 +221,34 @@
 
 	bool Planner::stageAll(const Group& _group, std::uint64_t _fence, const std::string& _map)
 	{
-		auto gathering = std::make_shared<Gathering<bool>>(_group.agents.size());
+		auto collector = std::make_shared<ResponseCollector<bool>>(_group.agents.size());
 		for (const std::string& agent : _group.agents)
 		{
-			const auto request = [gathering, _fence, map = _map](rpc::Agent::Client& _agent) {
+			const auto request = [collector, _fence, map = _map](rpc::Agent::Client& _agent) {
 				auto call = _agent.stageMapRequest();
 				call.setFence(_fence);
 				call.setMap(map);
-				return call.send().then([gathering](capnp::Response<rpc::Agent::StageMapResults>&& _response) {
-					gathering->add(_response.getDone());
+				return call.send().then([collector](capnp::Response<rpc::Agent::StageMapResults>&& _response) {
+					collector->add(_response.getDone());
 				});
 			};
-			this->agents.call(agent, kStageTimeoutMs, request, [gathering] {
-				gathering->add(std::nullopt);
+			this->agents.call(agent, kStageTimeoutMs, request, [collector] {
+				collector->add(std::nullopt);
 			});
 		}
-		const std::vector<bool> done = gathering->wait(kStageTimeoutMs);
+		const std::vector<bool> done = collector->wait(kStageTimeoutMs);
 		return done.size() == _group.agents.size() && done.end() == std::find(done.begin(), done.end(), false);
 	}
 
-	void Planner::note(Memory& _memory, const std::string& _what)
+	void Planner::recordEvent(GroupHistory& _history, const std::string& _event)
 	{
-		_memory.view.last = _what;
+		_history.view.lastEvent = _event;
 	}
 
-	void Planner::propose(const Group& _group, Memory& _memory, const std::vector<RankReport>& _reports, const PlacementPlan& _plan, std::uint64_t _fence)
+	void Planner::propose(const Group& _group, GroupHistory& _history, const std::vector<RankReport>& _reports, const PlacementPlan& _plan, std::uint64_t _fence)
 	{
 		const RankReport& first = _reports.front();
-		std::uint64_t number = (_fence << kNumberBits) + 1;
+		std::uint64_t number = (_fence << kNumberCountBits) + 1;
 		std::uint64_t step = 0;
 		for (const RankReport& report : _reports)
 		{
@@ -260,58 +260,58 @@
 		const Json map{{"epoch", first.state.epoch + 1}, {"digest", digest}, {"hosts", hosts}};
 		if (!this->stageAll(_group, _fence, map.dump()))
 		{
-			this->note(_memory, "staging failed");
+			this->recordEvent(_history, "staging failed");
 			return;
 		}
-		// Staging took time; the boundary lies ahead of where the ranks are now.
-		for (const RankReport& report : this->reports(_group))
+		// Staging took time: the boundary is set ahead of the ranks' current steps.
+		for (const RankReport& report : this->fetchReports(_group))
 		{
 			step = std::max(step, report.state.step);
 		}
 		VoteMessage message;
 		message.group.proposal = {_group.name, number, _fence, first.state.formation, first.state.epoch, step + kMapMarginSteps, digest, std::uint32_t(_group.agents.size())};
 		message.group.peers = _group.agents;
-		auto gathering = std::make_shared<Gathering<bool>>(_group.agents.size());
+		auto collector = std::make_shared<ResponseCollector<bool>>(_group.agents.size());
 		for (std::size_t rank = 0; rank < _group.agents.size(); ++rank)
 		{
 			message.group.rank = std::uint32_t(rank);
-			const auto request = [gathering, message](rpc::Agent::Client& _agent) {
+			const auto request = [collector, message](rpc::Agent::Client& _agent) {
 				auto call = _agent.exchangeVotesRequest();
 				writeVotes(call.initMine(), message);
-				return call.send().then([gathering](capnp::Response<rpc::Agent::ExchangeVotesResults>&&) {
-					gathering->add(true);
+				return call.send().then([collector](capnp::Response<rpc::Agent::ExchangeVotesResults>&&) {
+					collector->add(true);
 				});
 			};
-			this->agents.call(_group.agents[rank], kCallTimeoutMs, request, [gathering] {
-				gathering->add(std::nullopt);
+			this->agents.call(_group.agents[rank], kCallTimeoutMs, request, [collector] {
+				collector->add(std::nullopt);
 			});
 		}
-		const std::size_t heard = gathering->wait(kCallTimeoutMs).size();
-		_memory.view.proposals += 1;
+		const std::size_t responses = collector->wait(kCallTimeoutMs).size();
+		_history.view.proposals += 1;
 		this->proposals.Increment();
 		this->stagedExperts.Increment(double(_plan.staged));
-		this->note(_memory, "proposed " + std::to_string(number));
-		logInfo("map_proposed", {{"group", _group.name}, {"number", number}, {"boundary", message.group.proposal.boundary}, {"experts", _plan.staged}, {"heard", heard}, {"skewBefore", fmt::format("{:.3f}", _plan.skewBefore)}, {"skewAfter", fmt::format("{:.3f}", _plan.skewAfter)}});
+		this->recordEvent(_history, "proposed " + std::to_string(number));
+		logInfo("map_proposed", {{"group", _group.name}, {"number", number}, {"boundary", message.group.proposal.boundary}, {"experts", _plan.staged}, {"responses", responses}, {"skewBefore", fmt::format("{:.3f}", _plan.skewBefore)}, {"skewAfter", fmt::format("{:.3f}", _plan.skewAfter)}});
 	}
 
 	void Planner::planGroup(const Group& _group, std::uint64_t _fence)
 	{
-		Memory& memory = this->memories[_group.name];
-		memory.view.group = _group.name;
-		const std::vector<RankReport> ranks = this->reports(_group);
+		GroupHistory& history = this->histories[_group.name];
+		history.view.group = _group.name;
+		const std::vector<RankReport> ranks = this->fetchReports(_group);
 		if (ranks.size() != _group.agents.size())
 		{
-			this->note(memory, "not all ranks answer");
+			this->recordEvent(history, "not all ranks respond");
 			return;
 		}
 		const bool pending = std::any_of(ranks.begin(), ranks.end(), [](const RankReport& _report) {
 			return _report.pending;
 		});
-		memory.view.epoch = ranks.front().state.epoch;
+		history.view.epoch = ranks.front().state.epoch;
 		const ExpertLoad counts = sumCounts(ranks);
-		const std::optional<ExpertLoad> window = countsSince(memory.lastCounts, counts);
-		memory.lastCounts = counts;
-		if (pending || !window || meanTokensPerLayer(*window) < kLeastTokens)
+		const std::optional<ExpertLoad> window = countsSince(history.lastCounts, counts);
+		history.lastCounts = counts;
+		if (pending || !window || meanTokensPerLayer(*window) < kMinTokensPerLayer)
 		{
 			return;
 		}
@@ -320,15 +320,15 @@
 		input.hosts = Json::parse(ranks.front().load).at("hosts").get<ExpertHosts>();
 		input.slots = (std::uint32_t(window->front().size()) + input.ranks - 1) / input.ranks + kSpareSlots;
 		input.load = *window;
-		const PlacementPlan plan = decidePlacement(memory.placement, input, _group.service->placement, nowMs());
-		memory.view.skew = plan.skewBefore;
+		const PlacementPlan plan = decidePlacement(history.placement, input, _group.service->placement, nowMs());
+		history.view.skew = plan.skewBefore;
 		if (0 < plan.staged)
 		{
-			this->propose(_group, memory, ranks, plan, _fence);
+			this->propose(_group, history, ranks, plan, _fence);
 		}
 	}
 
-	void Planner::work()
+	void Planner::threadMain()
 	{
 		Millis plannedAt = 0;
 		while (true)
@@ -346,28 +346,28 @@
 			}
 			catch (const PlatformError&)
 			{
-				// Without the platform the lease lapses, and nobody plans; the maps stay.
+				// Without the platform the lease expires and no entry plans; the current maps stay in use.
 			}
 			const std::optional<std::uint64_t> fence = actingFence(this->lease, nowMs());
 			const std::shared_ptr<const ActiveConfig> config = this->keeper.active();
-			if (fence && nullptr != config && kWindowMs <= nowMs() - plannedAt)
+			if (fence && nullptr != config && kPlanIntervalMs <= nowMs() - plannedAt)
 			{
 				plannedAt = nowMs();
-				for (const Group& group : this->groups(*config))
+				for (const Group& group : this->completeGroups(*config))
 				{
 					this->planGroup(group, *fence);
 				}
 			}
 			absl::MutexLock lock(&this->mutex);
-			if (this->holds != fence.has_value())
+			if (this->leaseHeld != fence.has_value())
 			{
 				logInfo(fence ? "lease_acquired" : "lease_lost", {{"zone", this->settings.zone}, {"fence", fence.value_or(0)}});
 			}
-			this->holds = fence.has_value();
-			this->published.clear();
-			for (const auto& [name, memory] : this->memories)
+			this->leaseHeld = fence.has_value();
+			this->publishedViews.clear();
+			for (const auto& [name, history] : this->histories)
 			{
-				this->published.push_back(memory.view);
+				this->publishedViews.push_back(history.view);
 			}
 		}
 	}
--- a/src/entry/planner.h
+++ b/src/entry/planner.h
@@ -1,5 +1,5 @@
-/// The planner of a zone's expert maps: one entry of the zone does it, the holder of the
-/// zone's lease in the platform's table.
+/// Plans the expert maps of a zone. One entry of the zone acts as planner: the holder of
+/// the zone's lease in the platform's table.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -22,14 +22,14 @@
 
 namespace archdyke
 {
-	/// What the planner knows of one group, for dumps.
+	/// The planner's view of one group, for dumps.
 	struct GroupView
 	{
 		std::string group;
 		std::uint64_t epoch = 0;
-		double skew = 0.0; ///< By the last window's counts.
+		double skew = 0.0; ///< Computed from the counts of the last window.
 		std::uint64_t proposals = 0;
-		std::string last; ///< What happened last.
+		std::string lastEvent; ///< Description of the last event.
 
 		bool operator==(const GroupView&) const = default;
 	};
@@ -47,11 +47,11 @@
 
 		std::vector<GroupView> views();
 
-		/// Gives the lease back, if held, and plans no more.
+		/// Stops planning and releases the lease, if held.
 		void stop();
 
 	private:
-		/// The agents of a group, by rank.
+		/// A group and the addresses of its agents, by rank.
 		struct Group
 		{
 			std::string name;
@@ -59,25 +59,25 @@
 			const Service* service = nullptr;
 		};
 
-		/// What is remembered of a group from window to window.
-		struct Memory
+		/// State of a group that is kept from window to window.
+		struct GroupHistory
 		{
 			ExpertLoad lastCounts;
 			PlacementState placement;
-			Millis lookedAt = 0;
+			Millis checkedAt = 0;
 			std::uint64_t proposed = 0;
 			GroupView view;
 		};
 
-		void work();
+		void threadMain();
 		void renewLease();
 		bool isCandidate() const;
-		std::vector<Group> groups(const ActiveConfig& _config) const;
+		std::vector<Group> completeGroups(const ActiveConfig& _config) const;
 		void planGroup(const Group& _group, std::uint64_t _fence);
-		std::vector<RankReport> reports(const Group& _group);
-		void propose(const Group& _group, Memory& _memory, const std::vector<RankReport>& _reports, const PlacementPlan& _plan, std::uint64_t _fence);
+		std::vector<RankReport> fetchReports(const Group& _group);
+		void propose(const Group& _group, GroupHistory& _history, const std::vector<RankReport>& _reports, const PlacementPlan& _plan, std::uint64_t _fence);
 		bool stageAll(const Group& _group, std::uint64_t _fence, const std::string& _map);
-		void note(Memory& _memory, const std::string& _what);
+		void recordEvent(GroupHistory& _history, const std::string& _event);
 
 		const EntrySettings settings;
 		const std::uint64_t incarnation;
@@ -87,14 +87,14 @@
 		prometheus::Counter& proposals;
 		prometheus::Counter& stagedExperts;
 
-		// The thread's own:
+		// Used by the planner thread only:
 		PlatformClient platform;
 		LeaseView lease;
-		std::map<std::string, Memory> memories;
+		std::map<std::string, GroupHistory> histories;
 
 		absl::Mutex mutex;
-		std::vector<GroupView> published ABSL_GUARDED_BY(mutex);
-		bool holds ABSL_GUARDED_BY(mutex) = false;
+		std::vector<GroupView> publishedViews ABSL_GUARDED_BY(mutex);
+		bool leaseHeld ABSL_GUARDED_BY(mutex) = false;
 		bool stopping ABSL_GUARDED_BY(mutex) = false;
 		std::thread thread;
 	};
--- a/src/entry/request.h
+++ b/src/entry/request.h
@@ -1,4 +1,4 @@
-/// A caller's request on its way through the filters of an entry:
+/// Types for a caller's request in the pipeline of an entry:
 /// accept -> authenticate -> limit -> resolve -> claim -> route and dispatch -> relay -> account.
 #pragma once
 
@@ -11,13 +11,13 @@
 
 namespace archdyke
 {
-	/// What came in.
+	/// A request as received from a caller.
 	struct CallerRequest
 	{
 		std::string method;
-		std::string path;   ///< Decoded, for rules.
-		std::string target; ///< As sent, with its query, for the upstream.
-		std::string key;    ///< Of the organisation.
+		std::string path;   ///< Decoded; used by the routing rules.
+		std::string target; ///< As sent, with its query; forwarded to the upstream.
+		std::string apiKey; ///< API key of the organisation.
 		std::string idempotencyKey;
 		bool markedNotRepeatable = false;
 		std::string contentType;
@@ -27,7 +27,7 @@
 		bool operator==(const CallerRequest&) const = default;
 	};
 
-	/// A request that may be dispatched.
+	/// A request that has passed the filters and may be dispatched.
 	struct ResolvedRequest
 	{
 		std::string id;
@@ -42,27 +42,27 @@
 		bool operator==(const ResolvedRequest&) const = default;
 	};
 
-	/// A final answer that is not an upstream's.
-	struct FinalAnswer
+	/// A final response that the entry itself produces.
+	struct FinalResponse
 	{
 		int status = 500;
 		Outcome outcome = Outcome::NotRun;
-		Millis retryAfterMs = 0; ///< 0: coming back makes no sense.
-		std::string reason;      ///< Short, for counters.
-		std::string message;     ///< What happened and what to do.
+		Millis retryAfterMs = 0; ///< 0: a retry makes no sense.
+		std::string reason;      ///< Short reason code.
+		std::string message;     ///< What happened and what the caller can do.
 
-		bool operator==(const FinalAnswer&) const = default;
+		bool operator==(const FinalResponse&) const = default;
 	};
 
-	/// Thrown by a filter that ends a request.
+	/// Thrown to end a request with a final response.
 	struct RejectedError : ArchdykeError
 	{
-		explicit RejectedError(FinalAnswer _answer)
-		    : ArchdykeError(_answer.message)
-		    , answer(std::move(_answer))
+		explicit RejectedError(FinalResponse _final)
+		    : ArchdykeError(_final.message)
+		    , response(std::move(_final))
 		{
 		}
 
-		FinalAnswer answer;
+		FinalResponse response;
 	};
 } // namespace archdyke
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -12,8 +12,8 @@
 		constexpr int kUnavailable = 503;
 		constexpr int kBadGateway = 502;
 		constexpr int kTimeout = 504;
-		/// At a deadline, how long to ask what became of the run, ms.
-		constexpr Millis kDeadlineSettleMs = 300;
+		/// Time limit for revoking a run whose deadline has passed, ms.
+		constexpr Millis kDeadlineRevokeTimeoutMs = 300;
 
 		Random& threadRandom()
 		{
@@ -49,7 +49,7 @@
 
 	RequestRun::~RequestRun()
 	{
-		this->closeTry();
+		this->closeAttempt();
 	}
 
 	Outcome RequestRun::outcome() const
@@ -58,7 +58,7 @@
 		{
 			return Outcome::Ran;
 		}
-		switch (this->worst.value_or(ExecutionProof::NotRun))
+		switch (this->worstProof.value_or(ExecutionProof::NotRun))
 		{
 		case ExecutionProof::NotRun:
 			return Outcome::NotRun;
@@ -71,9 +71,9 @@
 
 	void RequestRun::recordProof(ExecutionProof _proof)
 	{
-		if (!this->worst || severity(*this->worst) < severity(_proof))
+		if (!this->worstProof || severity(*this->worstProof) < severity(_proof))
 		{
-			this->worst = _proof;
+			this->worstProof = _proof;
 		}
 	}
 
@@ -92,7 +92,7 @@
 			candidate.id = target.id;
 			candidate.ownZone = target.ownZone;
 			candidate.distanceMs = target.distanceMs;
-			const bool triedBefore = this->tried.end() != std::find(this->tried.begin(), this->tried.end(), target.link->identity().name);
+			const bool triedBefore = this->triedAgents.end() != std::find(this->triedAgents.begin(), this->triedAgents.end(), target.link->identity().name);
 			candidate.usable = candidate.usable && !triedBefore;
 			candidates.push_back(candidate);
 		}
@@ -103,13 +103,13 @@
 	void RequestRun::send(const std::shared_ptr<AgentLink>& _link)
 	{
 		this->current = {};
-		this->pending.clear();
+		this->undelivered.clear();
 		this->current.link = _link;
 		this->current.incarnation = _link->incarnation();
 		this->current.call = std::make_shared<Call>();
 		this->current.relay.key = {this->request.id, this->attempts};
 		this->current.open = true;
-		this->tried.push_back(_link->identity().name);
+		this->triedAgents.push_back(_link->identity().name);
 		RunSpec run;
 		run.key = this->current.relay.key;
 		run.organisation = this->request.organisation.name;
@@ -123,7 +123,7 @@
 		_link->dispatch(this->current.call, std::move(run));
 	}
 
-	void RequestRun::closeTry()
+	void RequestRun::closeAttempt()
 	{
 		if (this->current.open)
 		{
@@ -132,7 +132,7 @@
 		}
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleVerdict(const VerdictEvent& _event)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleVerdict(const VerdictEvent& _event)
 	{
 		if (_event.accepted)
 		{
@@ -140,35 +140,35 @@
 			return std::nullopt;
 		}
 		const ExecutionProof proof = RefusalReason::Duplicate == _event.reason ? ExecutionProof::Unknown : ExecutionProof::NotRun;
-		return TryFailure{proof, _event.reason, std::max<Millis>(1, _event.retryAfterMs), std::string(toString(_event.reason)), "the upstream " + this->current.link->identity().name + " refused the request (" + std::string(toString(_event.reason)) + "); come back after the time in Retry-After"};
+		return AttemptFailure{proof, _event.reason, std::max<Millis>(1, _event.retryAfterMs), std::string(toString(_event.reason)), "the upstream " + this->current.link->identity().name + " refused the request (" + std::string(toString(_event.reason)) + "); retry after the time in Retry-After"};
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleFrame(const AnswerFrame& _frame)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleFrame(const AnswerFrame& _frame)
 	{
 		const FrameDecision decision = acceptFrame(this->current.relay, _frame.head);
 		switch (decision.action)
 		{
 		case FrameAction::Deliver:
 			this->current.started = true;
-			this->start = AnswerStart{_frame.status, _frame.contentType, this->current.link->identity().name};
-			this->pending.append(_frame.bytes, decision.skip);
+			this->start = ResponseStart{_frame.status, _frame.contentType, this->current.link->identity().name};
+			this->undelivered.append(_frame.bytes, decision.skip);
 			return std::nullopt;
 		case FrameAction::Gap:
 			return this->reconnect(nowMs() + kResumeMs);
 		case FrameAction::Broken:
-			return TryFailure{_frame.notRun ? ExecutionProof::NotRun : ExecutionProof::Ran, RefusalReason::None, kComeBackMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; come back after the time in Retry-After" : " broke off its answer; check with it before you send the request again")};
+			return AttemptFailure{_frame.notRun ? ExecutionProof::NotRun : ExecutionProof::Ran, RefusalReason::None, kComeBackMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; retry after the time in Retry-After" : " did not complete its response; check with it before you send the request again")};
 		default:
 			this->context.droppedFrames.Increment();
 			return std::nullopt;
 		}
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleDeadline()
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleDeadline()
 	{
 		ExecutionProof proof = ExecutionProof::Ran;
 		if (!this->current.started)
 		{
-			const std::optional<RevokeState> state = this->settle(nowMs() + kDeadlineSettleMs);
+			const std::optional<RevokeState> state = this->revokeUntilAnswered(nowMs() + kDeadlineRevokeTimeoutMs);
 			proof = RevokeState::NotRun == state ? ExecutionProof::NotRun : RevokeState::Started == state ? ExecutionProof::Ran
 			                                                                                              : ExecutionProof::Unknown;
 		}
@@ -176,10 +176,10 @@
 		{
 			this->current.link->cancel(this->current.relay.key);
 		}
-		return TryFailure{proof, RefusalReason::Deadline, kComeBackMs, "deadline", "the deadline of the service has passed"};
+		return AttemptFailure{proof, RefusalReason::Deadline, kComeBackMs, "deadline", "the deadline of the service has passed"};
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleEvent(const CallEvent& _event)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleEvent(const CallEvent& _event)
 	{
 		if (const VerdictEvent* verdict = std::get_if<VerdictEvent>(&_event))
 		{
@@ -191,18 +191,18 @@
 		}
 		if (const LinkLostEvent* lost = std::get_if<LinkLostEvent>(&_event))
 		{
-			return this->handleLost(*lost);
+			return this->handleLinkLost(*lost);
 		}
-		return std::nullopt; // A late answer to an earlier question.
+		return std::nullopt; // A late response to an earlier revoke or resume.
 	}
 
-	/// Waits until there are bytes of the answer, or its end.
-	std::optional<RequestRun::TryFailure> RequestRun::waitForAnswer()
+	/// Waits for bytes of the response, or for its end.
+	std::optional<RequestRun::AttemptFailure> RequestRun::waitForResponse()
 	{
-		while (this->pending.empty() && !this->current.relay.complete)
+		while (this->undelivered.empty() && !this->current.relay.complete)
 		{
 			const std::optional<CallEvent> event = this->current.call->wait(this->request.deadline);
-			std::optional<TryFailure> failure = event ? this->handleEvent(*event) : this->handleDeadline();
+			std::optional<AttemptFailure> failure = event ? this->handleEvent(*event) : this->handleDeadline();
 			if (failure)
 			{
 				return failure;
@@ -211,22 +211,22 @@
 		return std::nullopt;
 	}
 
-	RequestRun::TryFailure RequestRun::noUpstream() const
+	RequestRun::AttemptFailure RequestRun::noUpstreamFailure() const
 	{
-		return {ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" takes work now; come back after the time in Retry-After"};
+		return {ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" accepts requests now; retry after the time in Retry-After"};
 	}
 
-	RejectedError RequestRun::giveUp(const TryFailure& _failure) const
+	RejectedError RequestRun::makeRejection(const AttemptFailure& _failure) const
 	{
 		const Outcome outcome = this->outcome();
-		const bool late = RefusalReason::Deadline == _failure.refusal && Outcome::NotRun != outcome;
-		const int status = late ? kTimeout : Outcome::NotRun == outcome ? kUnavailable
-		                                                                : kBadGateway;
+		const bool isTimeout = RefusalReason::Deadline == _failure.refusal && Outcome::NotRun != outcome;
+		const int status = isTimeout ? kTimeout : Outcome::NotRun == outcome ? kUnavailable
+		                                                                     : kBadGateway;
 		const Millis retryAfterMs = Outcome::NotRun == outcome ? std::max<Millis>(1, _failure.retryAfterMs) : 0;
 		return RejectedError({status, outcome, retryAfterMs, _failure.reason, _failure.message});
 	}
 
-	NextStep RequestRun::stepAfter(const TryFailure& _failure)
+	NextStep RequestRun::decideNextStep(const AttemptFailure& _failure)
 	{
 		const FailedAttempt failed{_failure.proof, _failure.refusal, this->attempts, this->request.repeatable, this->delivered, this->request.deadline - nowMs()};
 		const NextStep step = decideNext(failed);
@@ -237,67 +237,67 @@
 		return step;
 	}
 
-	AnswerStart RequestRun::attempt()
+	ResponseStart RequestRun::runAttempts()
 	{
 		while (true)
 		{
 			const std::shared_ptr<AgentLink> link = this->chooseLink();
 			if (nullptr == link)
 			{
-				throw this->giveUp(this->noUpstream());
+				throw this->makeRejection(this->noUpstreamFailure());
 			}
 			this->send(link);
-			const std::optional<TryFailure> failure = this->waitForAnswer();
+			const std::optional<AttemptFailure> failure = this->waitForResponse();
 			if (!failure)
 			{
 				return *this->start;
 			}
-			this->closeTry();
+			this->closeAttempt();
 			this->current.started = false;
 			this->recordProof(failure->proof);
-			if (NextStep::Retry != this->stepAfter(*failure))
+			if (NextStep::Retry != this->decideNextStep(*failure))
 			{
-				throw this->giveUp(*failure);
+				throw this->makeRejection(*failure);
 			}
 			this->context.retried.Increment();
 			this->attempts += 1;
 		}
 	}
 
-	AnswerStart RequestRun::begin()
+	ResponseStart RequestRun::begin()
 	{
-		return this->attempt();
+		return this->runAttempts();
 	}
 
 	std::optional<std::string> RequestRun::next()
 	{
-		const std::optional<TryFailure> failure = this->waitForAnswer();
+		const std::optional<AttemptFailure> failure = this->waitForResponse();
 		if (failure)
 		{
-			this->closeTry();
+			this->closeAttempt();
 			this->recordProof(failure->proof);
-			throw this->giveUp(*failure);
+			throw this->makeRejection(*failure);
 		}
-		if (this->pending.empty())
+		if (this->undelivered.empty())
 		{
-			this->closeTry();
+			this->closeAttempt();
 			this->context.retries.earn();
 			return std::nullopt;
 		}
 		this->delivered = this->request.streamed;
-		return std::exchange(this->pending, {});
+		return std::exchange(this->undelivered, {});
 	}
 
-	AnswerStart RequestRun::restart(const RejectedError& _error)
+	ResponseStart RequestRun::restart(const RejectedError& _error)
 	{
-		if (!this->request.repeatable || this->delivered || NextStep::Retry != this->stepAfter({ExecutionProof::Ran, RefusalReason::None, 0, _error.answer.reason, _error.answer.message}))
+		if (!this->request.repeatable || this->delivered || NextStep::Retry != this->decideNextStep({ExecutionProof::Ran, RefusalReason::None, 0, _error.response.reason, _error.response.message}))
 		{
 			throw _error;
 		}
 		this->context.retried.Increment();
 		this->attempts += 1;
 		this->current.started = false;
-		return this->attempt();
+		return this->runAttempts();
 	}
 
 	std::string RequestRun::contentType() const
@@ -310,7 +310,7 @@
 		if (this->current.open)
 		{
 			this->current.link->cancel(this->current.relay.key);
-			this->closeTry();
+			this->closeAttempt();
 		}
 	}
 } // namespace archdyke
--- a/src/entry/request_run.h
+++ b/src/entry/request_run.h
@@ -1,4 +1,4 @@
-/// Dispatches one request, tries it again where that is safe, and relays its answer.
+/// Dispatches one request, retries it where that is safe, and relays its response.
 #pragma once
 
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace archdyke
 {
-	/// Retries that all requests of an entry share.
+	/// Retry budget that all requests of an entry share.
 	class SharedRetryBudget
 	{
 	public:
@@ -26,7 +26,7 @@
 		RetryBudget budget ABSL_GUARDED_BY(mutex);
 	};
 
-	/// What a request needs of its entry.
+	/// Parts of the entry that a request uses.
 	struct RunContext
 	{
 		Directory& directory;
@@ -36,17 +36,17 @@
 		prometheus::Counter& droppedFrames;
 	};
 
-	/// Status line of an upstream's answer.
-	struct AnswerStart
+	/// Start of an upstream's response.
+	struct ResponseStart
 	{
 		int status = 200;
 		std::string contentType;
-		std::string upstream; ///< Name of the one that runs it.
+		std::string upstream; ///< Name of the upstream that runs the request.
 
-		bool operator==(const AnswerStart&) const = default;
+		bool operator==(const ResponseStart&) const = default;
 	};
 
-	/// Used by one thread.
+	/// Runs one request. Used by one thread.
 	class RequestRun
 	{
 	public:
@@ -55,43 +55,43 @@
 		RequestRun(const RequestRun&) = delete;
 		RequestRun& operator=(const RequestRun&) = delete;
 
-		/// Dispatches, until an answer begins.
-		/// @throws RejectedError When it is given up; says what is proved of it.
-		AnswerStart begin();
+		/// Dispatches the request, with retries, until a response begins.
+		/// @throws RejectedError When no attempt is left; has the proved outcome of the request.
+		ResponseStart begin();
 
-		/// @returns The next bytes of the answer; none at its end. Bytes of a streamed
+		/// @returns The next bytes of the response; none at its end. Bytes of a streamed
 		/// request count as delivered to the caller.
-		/// @throws RejectedError When the answer can't be completed.
+		/// @throws RejectedError When the response can't be completed.
 		std::optional<std::string> next();
 
-		/// Starts over after a broken answer, if nothing went to the caller, the request
-		/// may be repeated and the budget allows it.
+		/// Dispatches the request again after an incomplete response, if nothing was delivered
+		/// to the caller, the request is repeatable and the retry budget allows it.
 		/// @throws RejectedError The same error, if not.
-		AnswerStart restart(const RejectedError& _error);
+		ResponseStart restart(const RejectedError& _error);
 
-		/// @returns Content type of the answer that began.
+		/// @returns Content type of the response that began.
 		std::string contentType() const;
 
-		/// The caller has gone away.
+		/// Cancels the run: the caller has disconnected.
 		void abandon();
 
-		/// @returns What is proved of all tries so far.
+		/// @returns The outcome that is proved for all attempts so far.
 		Outcome outcome() const;
 
 	private:
-		/// One try.
-		struct Try
+		/// One attempt, on one agent.
+		struct Attempt
 		{
 			std::shared_ptr<AgentLink> link;
 			std::uint64_t incarnation = 0;
 			std::shared_ptr<Call> call;
 			RelayState relay;
 			bool started = false;
-			bool open = false; ///< Events may still come.
+			bool open = false; ///< Events may still arrive.
 		};
 
-		/// How a try ended without a whole answer.
-		struct TryFailure
+		/// Why an attempt ended without a complete response.
+		struct AttemptFailure
 		{
 			ExecutionProof proof = ExecutionProof::Unknown;
 			RefusalReason refusal = RefusalReason::None;
@@ -102,32 +102,32 @@
 
 		std::shared_ptr<AgentLink> chooseLink();
 		void send(const std::shared_ptr<AgentLink>& _link);
-		std::optional<TryFailure> waitForAnswer();
-		std::optional<TryFailure> handleEvent(const CallEvent& _event);
-		std::optional<TryFailure> handleVerdict(const VerdictEvent& _event);
-		std::optional<TryFailure> handleFrame(const AnswerFrame& _frame);
-		std::optional<TryFailure> handleLost(const LinkLostEvent& _event);
-		std::optional<TryFailure> handleDeadline();
-		std::optional<TryFailure> reconnect(Millis _until);
-		std::optional<RevokeState> settle(Millis _until);
-		std::optional<std::vector<AnswerFrame>> askToResume(Millis _until);
-		std::optional<TryFailure> handleFrames(const std::vector<AnswerFrame>& _frames);
-		void closeTry();
-		AnswerStart attempt();
-		TryFailure noUpstream() const;
-		RejectedError giveUp(const TryFailure& _failure) const;
+		std::optional<AttemptFailure> waitForResponse();
+		std::optional<AttemptFailure> handleEvent(const CallEvent& _event);
+		std::optional<AttemptFailure> handleVerdict(const VerdictEvent& _event);
+		std::optional<AttemptFailure> handleFrame(const AnswerFrame& _frame);
+		std::optional<AttemptFailure> handleLinkLost(const LinkLostEvent& _event);
+		std::optional<AttemptFailure> handleDeadline();
+		std::optional<AttemptFailure> reconnect(Millis _until);
+		std::optional<RevokeState> revokeUntilAnswered(Millis _until);
+		std::optional<std::vector<AnswerFrame>> resumeUntilAnswered(Millis _until);
+		std::optional<AttemptFailure> handleFrames(const std::vector<AnswerFrame>& _frames);
+		void closeAttempt();
+		ResponseStart runAttempts();
+		AttemptFailure noUpstreamFailure() const;
+		RejectedError makeRejection(const AttemptFailure& _failure) const;
 		void recordProof(ExecutionProof _proof);
-		NextStep stepAfter(const TryFailure& _failure);
+		NextStep decideNextStep(const AttemptFailure& _failure);
 
 		RunContext context;
 		const ResolvedRequest& request;
 		const CallerRequest& caller;
 		std::uint32_t attempts = 0;
-		std::optional<ExecutionProof> worst; ///< Of the tries that ended.
-		Try current;
-		std::vector<std::string> tried;
-		std::optional<AnswerStart> start;
-		std::string pending; ///< Bytes of the answer not yet handed on.
+		std::optional<ExecutionProof> worstProof; ///< Of the attempts that ended.
+		Attempt current;
+		std::vector<std::string> triedAgents;
+		std::optional<ResponseStart> start;
+		std::string undelivered; ///< Bytes of the response not yet forwarded.
 		bool delivered = false;
 	};
 } // namespace archdyke
--- a/src/entry/watcher.cpp
+++ b/src/entry/watcher.cpp
@@ -12,16 +12,16 @@
 {
 	namespace
 	{
-		/// How often an entry that is not its zone's poller looks at the platform itself, ms.
-		constexpr Millis kSlowPollMs = 2'000;
+		/// Interval at which an entry that is not its zone's poller polls the platform itself, ms.
+		constexpr Millis kNonPollerIntervalMs = 2'000;
 		constexpr Millis kPeerTimeoutMs = 400;
-		/// Peers that are asked at each look.
-		constexpr std::size_t kZonePeersPerLook = 2;
-		constexpr std::size_t kFarPeersPerLook = 1;
-		/// Peers are asked at every second look while nothing changes.
-		constexpr std::uint64_t kLooksPerPeerLook = 2;
-		/// Shortest time between two looks, ms.
-		constexpr Millis kLeastPauseMs = 20;
+		/// Peers that are polled in one round.
+		constexpr std::size_t kZonePeersPerPoll = 2;
+		constexpr std::size_t kOtherZonePeersPerPoll = 1;
+		/// Peers are polled in every second round while nothing changes.
+		constexpr std::uint64_t kPollsPerPeerPoll = 2;
+		/// Minimum interval between polls, ms.
+		constexpr Millis kMinPollIntervalMs = 20;
 	} // namespace
 
 	Watcher::Watcher(const EntrySettings& _settings, std::uint64_t _incarnation, RpcLoop& _loop, ConfigKeeper& _keeper, Directory& _directory, PauseGuard& _guard, Metrics& _metrics)
@@ -30,11 +30,11 @@
 	    , keeper(_keeper)
 	    , directory(_directory)
 	    , guard(_guard)
-	    , platformErrors(_metrics.counter("archdyke_entry_platform_errors_total", "Looks at the platform that failed."))
+	    , platformErrors(_metrics.counter("archdyke_entry_platform_errors_total", "Failed polls of the platform."))
 	    , peers(_loop)
 	    , platform(_settings.platform, _settings.zone, kPlatformTimeoutMs)
 	    , thread([this] {
-		    this->work();
+		    this->threadMain();
 	    })
 	{
 	}
@@ -48,18 +48,18 @@
 		this->thread.join();
 	}
 
-	PeerState Watcher::myState()
+	PeerState Watcher::ownState()
 	{
 		absl::MutexLock lock(&this->mutex);
 		return {this->settings.name, this->settings.zone, this->incarnation, this->leaving, this->keeper.held()};
 	}
 
-	void Watcher::hearPeer(const PeerState& _peer)
+	void Watcher::recordPeerState(const PeerState& _peer)
 	{
 		const HeldConfig held = this->keeper.held();
 		absl::MutexLock lock(&this->mutex);
-		this->heard[_peer.name] = _peer;
-		this->hurry = this->hurry || isNewer(held, _peer.held.head) || _peer.held.staged.version > std::max(held.staged.version, held.head.version);
+		this->peerStates[_peer.name] = _peer;
+		this->pollRequested = this->pollRequested || isNewer(held, _peer.held.head) || _peer.held.staged.version > std::max(held.staged.version, held.head.version);
 	}
 
 	void Watcher::leave()
@@ -71,41 +71,41 @@
 	bool Watcher::platformUp()
 	{
 		absl::MutexLock lock(&this->mutex);
-		return this->up;
+		return this->platformReachable;
 	}
 
 	Millis Watcher::inDoubtMs()
 	{
 		const bool staged = 0 != this->keeper.held().staged.version;
 		absl::MutexLock lock(&this->mutex);
-		return staged && !this->up && 0 != this->stagedSince ? nowMs() - this->stagedSince : 0;
+		return staged && !this->platformReachable && 0 != this->stagedSince ? nowMs() - this->stagedSince : 0;
 	}
 
 	bool Watcher::isZonePoller(const std::vector<Vm>& _entries) const
 	{
-		const std::uint64_t mine = stableHash(this->settings.name);
+		const std::uint64_t ownHash = stableHash(this->settings.name);
 		return std::none_of(_entries.begin(), _entries.end(), [&](const Vm& _vm) {
-			return this->settings.zone == _vm.zone && stableHash(_vm.name) > mine;
+			return this->settings.zone == _vm.zone && stableHash(_vm.name) > ownHash;
 		});
 	}
 
-	std::vector<std::string> Watcher::peersToAsk(const std::vector<Vm>& _entries, bool _spreading) const
+	std::vector<std::string> Watcher::choosePeers(const std::vector<Vm>& _entries, bool _propagating) const
 	{
-		std::vector<std::string> near;
-		std::vector<std::string> far;
+		std::vector<std::string> ownZone;
+		std::vector<std::string> otherZones;
 		for (const Vm& vm : _entries)
 		{
-			(this->settings.zone == vm.zone ? near : far).push_back(vm.rpc);
+			(this->settings.zone == vm.zone ? ownZone : otherZones).push_back(vm.rpc);
 		}
 		std::vector<std::string> addresses;
-		const std::string salt = this->settings.name + std::to_string(this->lookNumber);
-		for (const std::size_t index : chooseSample(salt, near, _spreading ? near.size() : kZonePeersPerLook))
+		const std::string salt = this->settings.name + std::to_string(this->pollCount);
+		for (const std::size_t index : chooseSample(salt, ownZone, _propagating ? ownZone.size() : kZonePeersPerPoll))
 		{
-			addresses.push_back(near[index]);
+			addresses.push_back(ownZone[index]);
 		}
-		for (const std::size_t index : chooseSample(salt, far, kFarPeersPerLook))
+		for (const std::size_t index : chooseSample(salt, otherZones, kOtherZonePeersPerPoll))
 		{
-			addresses.push_back(far[index]);
+			addresses.push_back(otherZones[index]);
 		}
 		if (_entries.empty())
 		{
@@ -130,8 +130,8 @@
 	void Watcher::fetch(const ConfigMark& _mark, bool _accepted, const std::vector<std::string>& _addresses)
 	{
 		const HeldConfig held = this->keeper.held();
-		const bool wanted = _accepted ? isNewer(held, _mark) : _mark.version > held.head.version && _mark != held.staged;
-		if (!wanted)
+		const bool isNeeded = _accepted ? isNewer(held, _mark) : _mark.version > held.head.version && _mark != held.staged;
+		if (!isNeeded)
 		{
 			return;
 		}
@@ -159,13 +159,13 @@
 		}
 	}
 
-	void Watcher::lookAtTable()
+	void Watcher::pollTable()
 	{
-		const std::string confirmation = confirmKey(this->settings.zone);
-		const TableResult result = this->platform.transact({{kHeadKey, kStageKey, confirmation}, {}, {}});
+		const std::string confirmationKey = confirmKey(this->settings.zone);
+		const TableResult result = this->platform.transact({{kHeadKey, kStageKey, confirmationKey}, {}, {}});
 		const std::optional<HeadRow> head = decodeHead(rowOf(result, kHeadKey));
 		this->stage = decodeStage(rowOf(result, kStageKey));
-		const TableRow confirmationRow = rowOf(result, confirmation);
+		const TableRow confirmationRow = rowOf(result, confirmationKey);
 		this->confirmation = decodeConfirmation(confirmationRow);
 		this->confirmationVersion = confirmationRow.version;
 		if (head)
@@ -178,12 +178,12 @@
 		}
 	}
 
-	bool Watcher::lookAtPlatform()
+	bool Watcher::pollPlatform()
 	{
 		try
 		{
-			this->lookAtTable();
-			this->directory.hearVms(this->platform.vmsSince(this->directory.revision()));
+			this->pollTable();
+			this->directory.applyVmChanges(this->platform.vmsSince(this->directory.revision()));
 			this->confirm();
 			return true;
 		}
@@ -204,83 +204,83 @@
 		{
 			return;
 		}
-		const ZoneConfirmation mine{this->settings.zone, this->stage->mark, this->stage->nonce};
-		if (this->confirmation == mine)
+		const ZoneConfirmation ownConfirmation{this->settings.zone, this->stage->mark, this->stage->nonce};
+		if (this->confirmation == ownConfirmation)
 		{
 			return;
 		}
-		std::vector<PeerConfig> holdings;
+		std::vector<PeerConfig> peerConfigs;
 		for (const Vm& vm : this->directory.liveEntries())
 		{
 			if (this->settings.zone == vm.zone)
 			{
 				absl::MutexLock lock(&this->mutex);
-				const auto it = this->heard.find(vm.name);
-				holdings.push_back({vm.name, this->heard.end() == it ? ConfigMark{} : it->second.held.head, this->heard.end() == it ? ConfigMark{} : it->second.held.staged});
+				const auto it = this->peerStates.find(vm.name);
+				peerConfigs.push_back({vm.name, this->peerStates.end() == it ? ConfigMark{} : it->second.held.head, this->peerStates.end() == it ? ConfigMark{} : it->second.held.staged});
 			}
 		}
-		if (mayConfirmStaged(this->keeper.held(), holdings, this->stage->mark))
+		if (mayConfirmStaged(this->keeper.held(), peerConfigs, this->stage->mark))
 		{
 			const std::string key = confirmKey(this->settings.zone);
-			this->platform.transact({{}, {{key, this->confirmationVersion}}, {{key, encodeConfirmation(mine), 0}}});
-			logInfo("config_confirmed", {{"version", mine.mark.version}, {"zone", this->settings.zone}});
+			this->platform.transact({{}, {{key, this->confirmationVersion}}, {{key, encodeConfirmation(ownConfirmation), 0}}});
+			logInfo("config_confirmed", {{"version", ownConfirmation.mark.version}, {"zone", this->settings.zone}});
 		}
 	}
 
-	void Watcher::lookAtPeers()
+	void Watcher::pollPeers()
 	{
 		const HeldConfig held = this->keeper.held();
-		const bool spreading = 0 != held.staged.version || held != this->toldHeld;
-		const bool due = spreading || 0 == this->lookNumber % kLooksPerPeerLook || !this->guard.isFresh();
+		const bool propagating = 0 != held.staged.version || held != this->lastSentHeld;
+		const bool due = propagating || 0 == this->pollCount % kPollsPerPeerPoll || !this->guard.isFresh();
 		if (!due)
 		{
 			return;
 		}
-		this->toldHeld = held;
+		this->lastSentHeld = held;
 		const std::vector<Vm> entries = this->directory.liveEntries();
-		const std::vector<PeerAnswer> answers = this->peers.exchange(this->peersToAsk(entries, spreading), this->myState(), kPeerTimeoutMs);
-		for (const PeerAnswer& answer : answers)
+		const std::vector<PeerResponse> responses = this->peers.exchange(this->choosePeers(entries, propagating), this->ownState(), kPeerTimeoutMs);
+		for (const PeerResponse& response : responses)
 		{
 			{
 				absl::MutexLock lock(&this->mutex);
-				this->heard[answer.state.name] = answer.state;
+				this->peerStates[response.state.name] = response.state;
 			}
 			try
 			{
-				this->fetch(answer.state.held.head, true, {answer.address});
-				this->fetch(answer.state.held.staged, false, {answer.address});
+				this->fetch(response.state.held.head, true, {response.address});
+				this->fetch(response.state.held.staged, false, {response.address});
 			}
 			catch (const PlatformError&)
 			{
-				// The peer didn't hand it over and the platform is away: the next look.
+				// Neither the peer nor the platform sent the document: the next poll tries again.
 			}
 		}
 	}
 
-	void Watcher::look()
+	void Watcher::poll()
 	{
 		const std::uint64_t pauses = this->guard.pauses();
-		this->lookNumber += 1;
-		const bool due = this->isZonePoller(this->directory.liveEntries()) || kSlowPollMs <= nowMs() - this->lastPlatformLook || !this->guard.isFresh();
-		this->lookAtPeers();
+		this->pollCount += 1;
+		const bool due = this->isZonePoller(this->directory.liveEntries()) || kNonPollerIntervalMs <= nowMs() - this->lastPlatformPollAt || !this->guard.isFresh();
+		this->pollPeers();
 		if (due)
 		{
-			this->lastPlatformLook = nowMs();
-			const bool answered = this->lookAtPlatform();
+			this->lastPlatformPollAt = nowMs();
+			const bool responded = this->pollPlatform();
 			absl::MutexLock lock(&this->mutex);
-			if (answered && !this->up)
+			if (responded && !this->platformReachable)
 			{
 				logInfo("platform_up", {{"address", this->settings.platform}});
 			}
-			this->up = answered;
+			this->platformReachable = responded;
 		}
 		const std::shared_ptr<const ActiveConfig> active = this->keeper.active();
 		const std::uint64_t revision = this->directory.revision();
-		if (nullptr != active && (this->builtVersion != active->mark.version || this->builtRevision != revision))
+		if (nullptr != active && (this->appliedVersion != active->mark.version || this->appliedRevision != revision))
 		{
 			this->directory.rebuild(*active);
-			this->builtVersion = active->mark.version;
-			this->builtRevision = revision;
+			this->appliedVersion = active->mark.version;
+			this->appliedRevision = revision;
 		}
 		if (nullptr != active)
 		{
@@ -288,21 +288,21 @@
 		}
 	}
 
-	void Watcher::work()
+	void Watcher::threadMain()
 	{
 		while (true)
 		{
-			this->look();
+			this->poll();
 			absl::MutexLock lock(&this->mutex);
-			if (this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kLeastPauseMs)))
+			if (this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kMinPollIntervalMs)))
 			{
 				return;
 			}
-			const auto awake = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
-				return this->stopping || this->hurry;
+			const auto shouldPoll = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
+				return this->stopping || this->pollRequested;
 			};
-			this->mutex.AwaitWithTimeout(absl::Condition(&awake), absl::Milliseconds(kConfigPollMs - kLeastPauseMs));
-			this->hurry = false;
+			this->mutex.AwaitWithTimeout(absl::Condition(&shouldPoll), absl::Milliseconds(kConfigPollMs - kMinPollIntervalMs));
+			this->pollRequested = false;
 			if (this->stopping)
 			{
 				return;
--- a/src/entry/watcher.h
+++ b/src/entry/watcher.h
@@ -1,4 +1,4 @@
-/// An entry's eyes on the platform and its peers: configuration and VM list.
+/// Keeps an entry's configuration and VM list up to date by polling the platform and peers.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -25,32 +25,32 @@
 		Watcher& operator=(const Watcher&) = delete;
 
 		/// @returns This entry's state for peers.
-		PeerState myState();
+		PeerState ownState();
 
-		/// Takes in what a peer says of itself; looks around soon if it knows more.
-		void hearPeer(const PeerState& _peer);
+		/// Records a peer's state; polls soon if the peer has a newer version.
+		void recordPeerState(const PeerState& _peer);
 
-		/// From now on tells peers that this entry leaves.
+		/// Reports this entry as leaving to peers from now on.
 		void leave();
 
-		/// @returns Whether the platform answered at the last look.
+		/// @returns Whether the platform responded to the last poll.
 		bool platformUp();
 
-		/// @returns Since when a staged version has been held without news of it, ms; 0 for
-		/// none. Its acceptance is in doubt then.
+		/// @returns Time since the current staged version was stored here, while the platform is
+		/// unreachable and it is unknown whether that version was accepted, ms; else 0.
 		Millis inDoubtMs();
 
 	private:
-		void work();
-		void look();
-		bool lookAtPlatform();
-		void lookAtTable();
-		void lookAtPeers();
+		void threadMain();
+		void poll();
+		bool pollPlatform();
+		void pollTable();
+		void pollPeers();
 		void fetch(const ConfigMark& _mark, bool _accepted, const std::vector<std::string>& _addresses);
 		std::optional<std::string> fetchBytes(const ConfigMark& _mark, const std::vector<std::string>& _addresses);
 		void confirm();
 		bool isZonePoller(const std::vector<Vm>& _entries) const;
-		std::vector<std::string> peersToAsk(const std::vector<Vm>& _entries, bool _spreading) const;
+		std::vector<std::string> choosePeers(const std::vector<Vm>& _entries, bool _propagating) const;
 
 		const EntrySettings settings;
 		const std::uint64_t incarnation;
@@ -60,22 +60,22 @@
 		prometheus::Counter& platformErrors;
 		PeerCalls peers;
 
-		// The thread's own:
+		// Used by the watcher thread only:
 		PlatformClient platform;
-		Millis lastPlatformLook = 0;
-		std::uint64_t lookNumber = 0;
-		HeldConfig toldHeld; ///< What peers were last told.
+		Millis lastPlatformPollAt = 0;
+		std::uint64_t pollCount = 0;
+		HeldConfig lastSentHeld; ///< State last sent to peers.
 		std::optional<StageRow> stage;
 		std::optional<ZoneConfirmation> confirmation;
 		std::uint64_t confirmationVersion = 0;
-		std::uint64_t builtVersion = 0;
-		std::uint64_t builtRevision = 0;
+		std::uint64_t appliedVersion = 0;
+		std::uint64_t appliedRevision = 0;
 
 		absl::Mutex mutex;
-		absl::flat_hash_map<std::string, PeerState> heard ABSL_GUARDED_BY(mutex); ///< By name.
+		absl::flat_hash_map<std::string, PeerState> peerStates ABSL_GUARDED_BY(mutex); ///< By name.
 		bool leaving ABSL_GUARDED_BY(mutex) = false;
-		bool up ABSL_GUARDED_BY(mutex) = false;
-		bool hurry ABSL_GUARDED_BY(mutex) = false;
+		bool platformReachable ABSL_GUARDED_BY(mutex) = false;
+		bool pollRequested ABSL_GUARDED_BY(mutex) = false;
 		bool stopping ABSL_GUARDED_BY(mutex) = false;
 		Millis stagedSince ABSL_GUARDED_BY(mutex) = 0;
 		std::thread thread;
--- a/src/rpc/rpc_convert.cpp
+++ b/src/rpc/rpc_convert.cpp
@@ -19,8 +19,8 @@
 			return {_text.cStr(), _text.size()};
 		}
 
-		/// The wire's enumeration has the same order; a value from a newer version is read
-		/// as an overload, which is a refusal like any other.
+		/// The enumeration on the wire has the same order. An unknown value from a newer version
+		/// is read as Overloaded, an ordinary refusal.
 		RefusalReason fromRpc(rpc::RefusalReason _reason)
 		{
 			const auto value = static_cast<std::uint16_t>(_reason);
--- a/src/rpc/rpc_convert.h
+++ b/src/rpc/rpc_convert.h
@@ -1,4 +1,4 @@
-/// Between the messages of the wire and the structs of the program.
+/// Converts between RPC messages and the program's structs.
 #pragma once
 
 #include "archdyke/acceptance.h"
--- a/src/rpc/rpc_convert_map.cpp
+++ b/src/rpc/rpc_convert_map.cpp
@@ -34,7 +34,7 @@
 			return group;
 		}
 
-		/// A vote from a newer version counts as none.
+		/// An unknown vote from a newer version is read as None.
 		MapVote fromRpc(rpc::MapVote _vote)
 		{
 			return rpc::MapVote::YES == _vote ? MapVote::Yes : rpc::MapVote::NO == _vote ? MapVote::No
--- a/src/rpc/rpc_convert_map.h
+++ b/src/rpc/rpc_convert_map.h
@@ -1,4 +1,4 @@
-/// Between the messages of the wire and the structs of the map switch.
+/// Converts between RPC messages and the structs of the map switch.
 #pragma once
 
 #include "agent/rank_control.h"
--- a/src/rpc/rpc_listener.cpp
+++ b/src/rpc/rpc_listener.cpp
@@ -10,10 +10,10 @@
 {
 	namespace
 	{
-		/// A peer that doesn't acknowledge for this long is gone, ms.
+		/// Time without acknowledgements after which a connection is closed, ms.
 		constexpr unsigned int kPeerTimeoutMs = 10'000;
 
-		void limitSilence(kj::AsyncIoStream& _stream)
+		void setPeerTimeout(kj::AsyncIoStream& _stream)
 		{
 			const int yes = 1;
 			_stream.setsockopt(SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof(yes));
@@ -31,13 +31,13 @@
 
 		void taskFailed(kj::Exception&&) override
 		{
-			// The peer broke off; its side connects again.
+			// The connection failed; the peer reconnects.
 		}
 
 		void accept()
 		{
 			this->tasks.add(this->receiver->accept().then([this](kj::Own<kj::AsyncIoStream>&& _stream) {
-				limitSilence(*_stream);
+				setPeerTimeout(*_stream);
 				this->server.accept(kj::mv(_stream));
 				this->accept();
 			}));
@@ -61,7 +61,7 @@
 				target.sin_port = htons(static_cast<std::uint16_t>(_address.port));
 				if (1 != inet_pton(AF_INET, _address.host.c_str(), &target.sin_addr))
 				{
-					error = "not an IP number";
+					error = "not an IPv4 address";
 					return;
 				}
 				this->state = kj::heap<State>(_bootstrap());
--- a/src/rpc/rpc_listener.h
+++ b/src/rpc/rpc_listener.h
@@ -1,4 +1,4 @@
-/// Takes connections for a Cap'n Proto server, with limits on silent peers.
+/// Accepts connections for a Cap'n Proto server and closes those of unresponsive peers.
 #pragma once
 
 #include <capnp/rpc-twoparty.h>
@@ -12,7 +12,7 @@
 	class RpcListener
 	{
 	public:
-		/// Binds and begins to accept. Call it from any thread but the loop's.
+		/// Binds the address and starts to accept connections. Call it from any thread but the loop's.
 		/// @throws ArchdykeError When the address can't be bound.
 		RpcListener(RpcLoop& _loop, const Address& _address, std::function<capnp::Capability::Client()> _bootstrap);
 		~RpcListener();
--- a/src/rpc/rpc_loop.h
+++ b/src/rpc/rpc_loop.h
@@ -1,4 +1,4 @@
-/// A thread with a kj event loop, and a mailbox through which other threads give it work.
+/// A thread with a kj event loop, and a queue through which other threads post jobs to it.
 #pragma once
 
 #include <absl/functional/any_invocable.h>
@@ -17,17 +17,17 @@
 		RpcLoop();
 		~RpcLoop();
 
-		/// Runs a job on the loop's thread, later. Jobs run in the order of posting; a job
-		/// posted after stop doesn't run.
+		/// Queues a job for the loop's thread. Jobs run in the order of posting; a job posted
+		/// after stop doesn't run.
 		void post(Job _job);
 
-		/// Runs a job on the loop's thread and waits for its end.
+		/// Runs a job on the loop's thread and waits until it ends.
 		void run(Job _job);
 
-		/// Stops the loop and joins its thread. What lives on the loop must be gone.
+		/// Stops the loop and joins its thread. Objects that live on the loop must be destroyed before.
 		void stop();
 
-		/// Only on the loop's thread:
+		/// To be called on the loop's thread only:
 		kj::Network& network();
 		kj::Timer& timer();
 		void spawn(kj::Promise<void>&& _task);
--- a/src/rpc/rpc_pool.h
+++ b/src/rpc/rpc_pool.h
@@ -1,5 +1,5 @@
-/// Connections to servers of one Cap'n Proto interface, by address, and calls with a time
-/// limit on them.
+/// Pool of connections to servers of one Cap'n Proto interface, by address, with timeouts
+/// for calls.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -17,42 +17,43 @@
 
 namespace archdyke
 {
-	/// Answers gathered for a waiting thread. Shared, since late ones still arrive after it
-	/// has given up.
-	template <typename Answer>
-	class Gathering
+	/// Collects responses for a waiting thread. Shared, since late responses still arrive after
+	/// the thread has timed out.
+	template <typename Response>
+	class ResponseCollector
 	{
 	public:
-		explicit Gathering(std::size_t _count)
+		explicit ResponseCollector(std::size_t _count)
 		    : pending(_count)
 		{
 		}
 
-		/// Takes in an answer, or that there is none.
-		void add(std::optional<Answer> _answer)
+		/// Adds a response, or records a failed call.
+		void add(std::optional<Response> _response)
 		{
 			absl::MutexLock lock(&this->mutex);
 			this->pending -= 1;
-			if (_answer)
+			if (_response)
 			{
-				this->answers.push_back(std::move(*_answer));
+				this->responses.push_back(std::move(*_response));
 			}
 		}
 
-		/// @returns What came in time.
-		std::vector<Answer> wait(Millis _timeoutMs)
+		/// Waits for all responses, _timeoutMs at most.
+		/// @returns The responses received so far.
+		std::vector<Response> wait(Millis _timeoutMs)
 		{
 			absl::MutexLock lock(&this->mutex);
 			const auto done = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
 				return 0 == this->pending;
 			};
 			this->mutex.AwaitWithTimeout(absl::Condition(&done), absl::Milliseconds(_timeoutMs));
-			return this->answers;
+			return this->responses;
 		}
 
 	private:
 		absl::Mutex mutex;
-		std::vector<Answer> answers ABSL_GUARDED_BY(mutex);
+		std::vector<Response> responses ABSL_GUARDED_BY(mutex);
 		std::size_t pending ABSL_GUARDED_BY(mutex);
 	};
 
@@ -62,7 +63,7 @@
 	{
 	public:
 		using Client = typename Interface::Client;
-		/// Makes a call and handles its answer. On the loop's thread.
+		/// Makes a call and handles its response. Runs on the loop's thread.
 		using Request = std::function<kj::Promise<void>(Client&)>;
 
 		explicit RpcPool(RpcLoop& _loop)
@@ -71,7 +72,7 @@
 		{
 		}
 
-		/// Ends all calls; none of their functions runs after that.
+		/// Cancels all calls; none of their callbacks runs afterwards.
 		~RpcPool()
 		{
 			this->loop.run([this] {
@@ -84,7 +85,7 @@
 		RpcPool(const RpcPool&) = delete;
 		RpcPool& operator=(const RpcPool&) = delete;
 
-		/// Calls a server. Either _request ends well, or _failed is called once.
+		/// Calls a server. Either _request succeeds, or _failed is called once.
 		void call(const std::string& _address, Millis _timeoutMs, Request _request, std::function<void()> _failed)
 		{
 			this->loop.post([&target = this->loop, shared = this->state, address = _address, _timeoutMs, request = std::move(_request), failed = std::move(_failed)] {
@@ -92,12 +93,12 @@
 				{
 					return;
 				}
-				kj::Promise<void> calling = connect(target, shared, address).then([shared, address, request] {
+				kj::Promise<void> pendingCall = connect(target, shared, address).then([shared, address, request] {
 					return request(shared->connections.at(address)->client);
 				});
-				shared->tasks->add(target.timer().timeoutAfter(_timeoutMs * kj::MILLISECONDS, kj::mv(calling)).catch_([&target, shared, address, failed](kj::Exception&&) {
+				shared->tasks->add(target.timer().timeoutAfter(_timeoutMs * kj::MILLISECONDS, kj::mv(pendingCall)).catch_([&target, shared, address, failed](kj::Exception&&) {
 					failed();
-					// Not from within one of its own promises.
+					// The connection must not be destroyed from within one of its own promises.
 					target.post([shared, address] {
 						shared->connections.erase(address);
 					});
@@ -129,7 +130,7 @@
 
 			void taskFailed(kj::Exception&&) override
 			{
-				// Every call handles its own failure.
+				// Each call handles its own failure.
 			}
 
 			absl::flat_hash_map<std::string, kj::Own<Connection>> connections;
--- a/src/rpc/run.h
+++ b/src/rpc/run.h
@@ -1,4 +1,4 @@
-/// A run as it travels from an entry to an agent, and what comes back.
+/// A run that an entry dispatches to an agent, and the events that come back.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace archdyke
 {
-	/// One request for one agent.
+	/// One attempt of a request, dispatched to one agent.
 	struct RunSpec
 	{
 		RunKey key;
@@ -26,19 +26,19 @@
 		bool operator==(const RunSpec&) const = default;
 	};
 
-	/// A piece of an answer with its bytes.
+	/// A chunk of a response.
 	struct AnswerFrame
 	{
 		FrameHeader head;
 		std::string bytes;
 		int status = 0; ///< HTTP status of the upstream.
 		std::string contentType;
-		bool notRun = false; ///< With failed: nothing reached the upstream.
+		bool notRun = false; ///< In a failed frame: nothing reached the upstream.
 
 		bool operator==(const AnswerFrame&) const = default;
 	};
 
-	/// The agent has started the run, or refuses it.
+	/// The agent has accepted the run, or refused it.
 	struct VerdictEvent
 	{
 		bool accepted = false;
@@ -48,27 +48,27 @@
 		bool operator==(const VerdictEvent&) const = default;
 	};
 
-	/// The link to the agent is lost.
+	/// The link to the agent was lost.
 	struct LinkLostEvent
 	{
-		bool neverSent = false; ///< Proved: no byte of the dispatch left.
+		bool neverSent = false; ///< It is proved that no byte of the dispatch was sent.
 
 		bool operator==(const LinkLostEvent&) const = default;
 	};
 
-	/// Answer to a revoke. Not available: no link to that incarnation now.
+	/// Response to a revoke.
 	struct RevokeEvent
 	{
-		bool available = false;
+		bool available = false; ///< False while there is no link to the agent.
 		RevokeState state = RevokeState::Unknown;
 
 		bool operator==(const RevokeEvent&) const = default;
 	};
 
-	/// Answer to a resume.
+	/// Response to a resume.
 	struct ResumeEvent
 	{
-		bool available = false;
+		bool available = false; ///< False while there is no link to the agent.
 		bool known = false;
 
 		bool operator==(const ResumeEvent&) const = default;
