--- a/tests/office.h
+++ b/tests/office.h
@@ -1,4 +1,4 @@
-/// What the tests with real processes share: a small office behind the fault proxy.
+/// Helpers for tests with real processes: a small office whose links pass through the fault proxy.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -21,7 +21,7 @@
 		return options;
 	}
 
-	/// Applies the office's file and waits until all is linked.
+	/// Applies the office's configuration and waits until all entries are ready and linked to all agents.
 	inline void makeReady(lab::Office& _office)
 	{
 		const lab::CommandResult applied = _office.apply();
@@ -34,15 +34,15 @@
 		return _office.loadOptions();
 	}
 
-	/// Sends a call on a thread of its own.
-	inline std::future<lab::CallRecord> callLater(const lab::LoadOptions& _load, lab::CallKind _kind, const std::string& _token, const std::string& _entry)
+	/// Sends a call on a new thread.
+	inline std::future<lab::CallRecord> sendCallAsync(const lab::LoadOptions& _load, lab::CallKind _kind, const std::string& _token, const std::string& _entry)
 	{
 		return std::async(std::launch::async, [=] {
 			return lab::sendCall(_load, _kind, _token, _entry, "alpha");
 		});
 	}
 
-	/// Waits until a token has run this often by the stand-ins' records.
+	/// Waits until the stubs have recorded at least _count runs of a token.
 	inline bool waitForRuns(lab::Office& _office, const std::string& _token, int _count, Millis _timeoutMs = 5'000)
 	{
 		return lab::waitUntil(_timeoutMs, [&] {
@@ -50,8 +50,8 @@
 		});
 	}
 
-	/// Sets how long the plain services take.
-	inline void slowServices(lab::Office& _office, Millis _delayMs)
+	/// Sets the response delay of the plain service "shop".
+	inline void setShopDelay(lab::Office& _office, Millis _delayMs)
 	{
 		for (const lab::UpstreamStub& stub : _office.stubs())
 		{
@@ -62,8 +62,8 @@
 		}
 	}
 
-	/// Sets faults on the links from a zone to all agents.
-	inline void faultAgents(lab::Office& _office, const std::string& _fromZone, const nlohmann::json& _faults)
+	/// Sets faults on the links from the entries of a zone to all agents.
+	inline void setAgentLinkFaults(lab::Office& _office, const std::string& _fromZone, const nlohmann::json& _faults)
 	{
 		for (const std::unique_ptr<lab::Daemon>& agent : _office.agents())
 		{
@@ -73,6 +73,6 @@
 
 	inline void expectNoViolation(const lab::Violations& _violations)
 	{
-		cr_assert(0 == _violations.total(), "foreign %d, cut but clean %d, ran though told not run %d, doubled %d, silent %d", _violations.foreign, _violations.cutClean, _violations.falseNotRun, _violations.doubled, _violations.silent);
+		cr_assert(0 == _violations.total(), "responses of other calls %d, truncated but cleanly ended %d, ran though reported as not run %d, ran twice %d, without response %d", _violations.foreign, _violations.cutClean, _violations.falseNotRun, _violations.doubled, _violations.silent);
 	}
 } // namespace archdyke::tests
--- a/tests/test_config.cpp
+++ b/tests/test_config.cpp
@@ -1,5 +1,5 @@
-/// Accepted configuration is in force in every zone and never reverts: operator races,
-/// outages, cuts, fresh and paused processes.
+/// An accepted configuration is in force in every zone and never reverts, despite concurrent
+/// operators, outages, network partitions, and restarted or paused processes.
 #include <httplib.h>
 
 #include "base/http_server.h"
@@ -10,8 +10,8 @@
 
 namespace
 {
-	constexpr int kConflict = 3;
-	constexpr int kNotAccepted = 5;
+	constexpr int kExitConflict = 3;
+	constexpr int kExitNotAccepted = 5;
 
 	std::string fileWithRate(lab::Office& _office, int _rate)
 	{
@@ -20,22 +20,22 @@
 		});
 	}
 
-	std::uint64_t versionOf(lab::Office& _office, const lab::Daemon& _entry)
+	std::uint64_t versionInForce(lab::Office& _office, const lab::Daemon& _entry)
 	{
 		const nlohmann::json dump = _office.dump(_entry);
 		return dump.is_object() ? dump["config"]["version"].get<std::uint64_t>() : 0;
 	}
 
-	bool allHave(lab::Office& _office, std::uint64_t _version, Millis _timeoutMs = 4'000)
+	bool waitForVersion(lab::Office& _office, std::uint64_t _version, Millis _timeoutMs = 4'000)
 	{
 		return lab::waitUntil(_timeoutMs, [&] {
 			return std::all_of(_office.entries().begin(), _office.entries().end(), [&](const std::unique_ptr<lab::Daemon>& _entry) {
-				return _version == versionOf(_office, *_entry);
+				return _version == versionInForce(_office, *_entry);
 			});
 		});
 	}
 
-	int statusThrough(const lab::Daemon& _entry)
+	int sendRequest(const lab::Daemon& _entry)
 	{
 		const Address address = parseAddress(_entry.http);
 		httplib::Client client(address.host, address.port);
@@ -43,14 +43,14 @@
 		return result ? result->status : -1;
 	}
 
-	void cutAll(lab::Office& _office, const std::string& _zone, bool _cut)
+	void setZonePartition(lab::Office& _office, const std::string& _zone, bool _partitioned)
 	{
-		_office.cutPlatform(_zone, _cut);
+		_office.cutPlatform(_zone, _partitioned);
 		for (const Zone& zone : _office.document().zones)
 		{
 			if (_zone != zone.name)
 			{
-				_office.cutZones(_zone, zone.name, _cut);
+				_office.cutZones(_zone, zone.name, _partitioned);
 			}
 		}
 	}
@@ -67,10 +67,10 @@
 		std::unique_ptr<lab::ChildProcess> second = office.begin({"apply", fileWithRate(office, 20 + round), "--platform", office.platform(), "--from", from});
 		const int a = first->waitForExit(30'000).value_or(-1);
 		const int b = second->waitForExit(30'000).value_or(-1);
-		cr_assert((0 == a && kConflict == b) || (kConflict == a && 0 == b), "exit codes %d and %d", a, b);
-		const std::string told = (0 == a ? second : first)->log();
-		cr_assert(std::string::npos != told.find("apply again"), "%s", told.c_str());
-		cr_assert(allHave(office, std::uint64_t(2 + round)));
+		cr_assert((0 == a && kExitConflict == b) || (kExitConflict == a && 0 == b), "exit codes %d and %d", a, b);
+		const std::string loserLog = (0 == a ? second : first)->log();
+		cr_assert(std::string::npos != loserLog.find("apply again"), "%s", loserLog.c_str());
+		cr_assert(waitForVersion(office, std::uint64_t(2 + round)));
 	}
 }
 
@@ -79,8 +79,8 @@
 	lab::Office office(smallOffice());
 	makeReady(office);
 	cr_assert(0 == office.apply(fileWithRate(office, 11)).exitCode);
-	cr_assert(kConflict == office.apply(fileWithRate(office, 12), {"--from", "1"}).exitCode);
-	cr_assert(allHave(office, 2));
+	cr_assert(kExitConflict == office.apply(fileWithRate(office, 12), {"--from", "1"}).exitCode);
+	cr_assert(waitForVersion(office, 2));
 }
 
 Test(config, a_bad_file_changes_nothing)
@@ -93,7 +93,7 @@
 	const lab::CommandResult result = office.apply(file);
 	cr_assert(2 == result.exitCode);
 	cr_assert(std::string::npos != result.error.find("upstreams[0].zone"));
-	cr_assert(allHave(office, 1));
+	cr_assert(waitForVersion(office, 1));
 }
 
 Test(config, a_lost_confirmation_is_settled)
@@ -104,8 +104,8 @@
 	{
 		office.platformFaults({{"loseAnswers", lost}});
 		const lab::CommandResult result = office.apply(fileWithRate(office, 30 + lost));
-		cr_assert(0 == result.exitCode, "%d answers lost: %s", lost, result.error.c_str());
-		cr_assert(allHave(office, std::uint64_t(1 + lost)));
+		cr_assert(0 == result.exitCode, "%d responses lost: %s", lost, result.error.c_str());
+		cr_assert(waitForVersion(office, std::uint64_t(1 + lost)));
 		office.platformFaults({{"loseAnswers", 0}});
 	}
 }
@@ -115,27 +115,27 @@
 	lab::Office office(smallOffice());
 	makeReady(office);
 	office.cutPlatform("south", true);
-	// It can't confirm, so nothing is accepted behind its back.
+	// The zone can't confirm, so no version is accepted without it.
 	const lab::CommandResult refused = office.apply(fileWithRate(office, 41), {"--wait-ms", "2000"});
-	cr_assert(kNotAccepted == refused.exitCode, "exit code %d", refused.exitCode);
+	cr_assert(kExitNotAccepted == refused.exitCode, "exit code %d", refused.exitCode);
 	cr_assert(std::string::npos != refused.error.find("south"));
-	cr_assert(allHave(office, 1));
-	cr_assert(200 == statusThrough(*office.entries()[1]), "the cut zone stopped serving");
+	cr_assert(waitForVersion(office, 1));
+	cr_assert(200 == sendRequest(*office.entries()[1]), "the disconnected zone stopped serving");
 	office.cutPlatform("south", false);
 	cr_assert(0 == office.apply(fileWithRate(office, 42), {"--wait-ms", "10000"}).exitCode);
-	cr_assert(allHave(office, 2));
+	cr_assert(waitForVersion(office, 2));
 }
 
 Test(config, a_zone_cut_from_all_serves_and_is_waited_for)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	cutAll(office, "south", true);
-	cr_assert(kNotAccepted == office.apply(fileWithRate(office, 51), {"--wait-ms", "1500"}).exitCode);
-	cr_assert(200 == statusThrough(*office.entries()[1]), "the cut zone stopped serving");
-	cutAll(office, "south", false);
+	setZonePartition(office, "south", true);
+	cr_assert(kExitNotAccepted == office.apply(fileWithRate(office, 51), {"--wait-ms", "1500"}).exitCode);
+	cr_assert(200 == sendRequest(*office.entries()[1]), "the disconnected zone stopped serving");
+	setZonePartition(office, "south", false);
 	cr_assert(0 == office.apply(fileWithRate(office, 52), {"--wait-ms", "10000"}).exitCode);
-	cr_assert(allHave(office, 2));
+	cr_assert(waitForVersion(office, 2));
 }
 
 Test(config, an_outage_right_after_acceptance_delays_no_zone)
@@ -144,7 +144,7 @@
 	makeReady(office);
 	cr_assert(0 == office.apply(fileWithRate(office, 61)).exitCode);
 	office.platformFaults({{"outage", true}});
-	cr_assert(allHave(office, 2));
+	cr_assert(waitForVersion(office, 2));
 }
 
 Test(config, a_fresh_entry_in_an_outage_takes_the_version_of_its_peers)
@@ -157,7 +157,7 @@
 	office.platformFaults({{"outage", true}});
 	office.restart(fresh);
 	cr_assert(lab::waitUntil(5'000, [&] {
-		return 2 == versionOf(office, fresh);
+		return 2 == versionInForce(office, fresh);
 	}));
 }
 
@@ -167,10 +167,10 @@
 	makeReady(office);
 	office.platformFaults({{"outage", true}});
 	office.restart(*office.entries()[0]);
-	cr_assert(503 == statusThrough(*office.entries()[0]));
+	cr_assert(503 == sendRequest(*office.entries()[0]));
 	office.platformFaults({{"outage", false}});
 	cr_assert(lab::waitUntil(5'000, [&] {
-		return 200 == statusThrough(*office.entries()[0]);
+		return 200 == sendRequest(*office.entries()[0]);
 	}));
 }
 
@@ -181,27 +181,27 @@
 	cr_assert(0 == office.apply(open).exitCode);
 	cr_assert(office.waitReady());
 	lab::Daemon& paused = *office.entries()[0];
-	// The list says that it is gone, so that the others go on without it.
+	// The VM list says that the entry is gone, so that the others proceed without it.
 	paused.process->signal(SIGSTOP);
 	office.announce(paused, "gone");
 	const std::string closed = office.changedFile("closed.json", [](nlohmann::json& _json) {
 		_json["organisations"].erase(0);
 	});
 	cr_assert(0 == office.apply(closed, {"--wait-ms", "10000"}).exitCode);
-	// Requests wait in its socket while it sleeps; all are served after it wakes up.
+	// Requests queue in the socket of the paused entry; it handles all of them after it resumes.
 	std::vector<std::future<int>> statuses;
 	for (int index = 0; index < 8; ++index)
 	{
 		statuses.push_back(std::async(std::launch::async, [&] {
-			return statusThrough(paused);
+			return sendRequest(paused);
 		}));
 	}
-	// Long enough to be a pause; a shorter one is within the time that an acceptance takes.
+	// Long enough to be detected as a pause; a shorter one is within the time that an acceptance takes.
 	lab::pauseMs(1'500);
 	paused.process->signal(SIGCONT);
 	for (std::future<int>& status : statuses)
 	{
 		const int got = status.get();
-		cr_assert(200 != got, "served by a version that is not in force any more");
+		cr_assert(200 != got, "served under a version that is no longer in force");
 	}
 }
--- a/tests/test_path.cpp
+++ b/tests/test_path.cpp
@@ -1,4 +1,4 @@
-/// The full path through real processes: whole answers, one's own, and clear refusals.
+/// End-to-end tests with real processes: callers get complete responses to their own requests, and clear refusals.
 #include <arpa/inet.h>
 #include <httplib.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 
 namespace
 {
-	/// Sends raw requests to an entry.
+	/// @returns An HTTP client for an entry.
 	httplib::Client clientOf(const lab::Daemon& _entry)
 	{
 		const Address address = parseAddress(_entry.http);
@@ -23,16 +23,16 @@
 
 	const httplib::Headers kAlpha{{"Authorization", "Bearer key-alpha"}};
 
-	/// A long stream that is being relayed: returns once its upstream has begun.
-	std::future<lab::CallRecord> longStream(lab::Office& _office, lab::LoadOptions _load, const std::string& _token)
+	/// Starts a long streamed call and waits until its upstream has started.
+	std::future<lab::CallRecord> startLongStream(lab::Office& _office, lab::LoadOptions _load, const std::string& _token)
 	{
 		_load.tokens = 400;
-		std::future<lab::CallRecord> call = callLater(_load, lab::CallKind::Streamed, _token, _office.entries().front()->http);
+		std::future<lab::CallRecord> call = sendCallAsync(_load, lab::CallKind::Streamed, _token, _office.entries().front()->http);
 		cr_assert(waitForRuns(_office, _token, 1));
 		return call;
 	}
 
-	/// @returns The agent that has a call's run.
+	/// @returns The agent that runs the call.
 	lab::Daemon& busyAgent(lab::Office& _office, const std::future<lab::CallRecord>& _call)
 	{
 		lab::Daemon* found = nullptr;
@@ -45,7 +45,7 @@
 			return nullptr != found;
 		});
 		const bool ended = std::future_status::ready == _call.wait_for(std::chrono::seconds(0));
-		cr_assert(nullptr != found, "no agent has a run, and the call %s", ended ? "has ended" : "goes on");
+		cr_assert(nullptr != found, "no agent has a run, and the call %s", ended ? "has ended" : "is in progress");
 		return *found;
 	}
 } // namespace
@@ -60,17 +60,17 @@
 	const lab::LoadResult result = lab::runLoad(load);
 	expectNoViolation(lab::judge(result, office.runs()));
 	const lab::LoadFigures figures = lab::figuresOf(result);
-	cr_assert(figures.calls == figures.whole, "%u of %u whole", figures.whole, figures.calls);
+	cr_assert(figures.calls == figures.whole, "%u of %u responses complete", figures.whole, figures.calls);
 }
 
 Test(path, a_reset_link_resumes_the_stream)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = longStream(office, loadOn(office), "reset");
-	faultAgents(office, "north", {{"reset", true}});
+	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "reset");
+	setAgentLinkFaults(office, "north", {{"reset", true}});
 	const lab::CallRecord record = call.get();
-	cr_assert(record.whole, "told %s", record.reason.c_str());
+	cr_assert(record.whole, "reason %s", record.reason.c_str());
 	cr_assert(1 == office.runs()["reset"]);
 }
 
@@ -78,12 +78,12 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = longStream(office, loadOn(office), "cut");
-	faultAgents(office, "north", {{"cutToClient", true}});
+	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "cut");
+	setAgentLinkFaults(office, "north", {{"cutToClient", true}});
 	cr_assert(lab::waitUntil(5'000, [&] {
 		return std::string::npos != office.entries().front()->process->log().find("event=agent_link_lost");
 	}));
-	faultAgents(office, "north", {{"cutToClient", false}});
+	setAgentLinkFaults(office, "north", {{"cutToClient", false}});
 	cr_assert(call.get().whole);
 }
 
@@ -91,7 +91,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = longStream(office, loadOn(office), "killed");
+	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "killed");
 	busyAgent(office, call).process->kill();
 	const lab::CallRecord record = call.get();
 	cr_assert(!record.whole && record.brokenTold && !record.cutClean && !record.foreign, "whole %d, broken told %d, cut clean %d, foreign %d, %s", record.whole, record.brokenTold, record.cutClean, record.foreign, record.reason.c_str());
@@ -101,7 +101,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = longStream(office, loadOn(office), "entry-killed");
+	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "entry-killed");
 	office.entries().front()->process->kill();
 	const lab::CallRecord record = call.get();
 	cr_assert(!record.whole && !record.cutClean && !record.foreign);
@@ -113,7 +113,7 @@
 	makeReady(office);
 	lab::LoadOptions load = loadOn(office);
 	load.tokens = 100;
-	std::future<lab::CallRecord> call = callLater(load, lab::CallKind::Whole, "repeat", load.entries.front());
+	std::future<lab::CallRecord> call = sendCallAsync(load, lab::CallKind::Whole, "repeat", load.entries.front());
 	cr_assert(waitForRuns(office, "repeat", 1));
 	busyAgent(office, call).process->kill();
 	cr_assert(call.get().whole);
@@ -141,11 +141,11 @@
 		          for (const std::unique_ptr<lab::Daemon>& agent : office.agents())
 		          {
 			          const nlohmann::json dump = office.dump(*agent);
-			          running += dump.is_object() ? dump["running"].get<int>() : 1; // none that doesn't answer counts as idle
+			          running += dump.is_object() ? dump["running"].get<int>() : 1; // an agent that doesn't respond doesn't count as idle
 		          }
 		          return 0 == running;
 	          }),
-	          "the run goes on without its caller");
+	          "the run continues after its caller has disconnected");
 }
 
 Test(path, bad_requests_get_clear_refusals)
@@ -180,14 +180,14 @@
 	target.sin_port = htons(std::uint16_t(address.port));
 	inet_pton(AF_INET, address.host.c_str(), &target.sin_addr);
 	const int socket = ::socket(AF_INET, SOCK_STREAM, 0);
-	const timeval patience{30, 0};
-	setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof(patience));
+	const timeval receiveTimeout{30, 0};
+	setsockopt(socket, SOL_SOCKET, SO_RCVTIMEO, &receiveTimeout, sizeof(receiveTimeout));
 	cr_assert(0 == connect(socket, reinterpret_cast<sockaddr*>(&target), sizeof(target)));
 	const std::string half = "POST /shop/cards HTTP/1.1\r\nContent-Length: 100\r\n\r\nabc";
 	cr_assert(ssize_t(half.size()) == send(socket, half.data(), half.size(), 0));
-	char answer[512] = {};
-	cr_assert(0 < recv(socket, answer, sizeof(answer) - 1, 0));
-	cr_assert(std::string(answer).starts_with("HTTP/1.1 400"), "%s", answer);
+	char response[512] = {};
+	cr_assert(0 < recv(socket, response, sizeof(response) - 1, 0));
+	cr_assert(std::string(response).starts_with("HTTP/1.1 400"), "%s", response);
 	close(socket);
 }
 
--- a/tests/test_together.cpp
+++ b/tests/test_together.cpp
@@ -1,4 +1,4 @@
-/// All seven promises together: short seeded runs; scripts/chaos.sh has the long ones.
+/// Checks all seven guarantees together in short seeded chaos runs; scripts/chaos.sh has the long ones.
 #include "chaos.h"
 #include "office.h"
 
@@ -19,7 +19,7 @@
 			std::printf("seed %d: %s\n", int(_seed), note.c_str());
 		}
 		expectNoViolation(result.calls);
-		cr_assert(0 == result.violations(), "map %d, config reverts %d, late %d, work after leaving %d, dirty stops %d, settled %d", result.mapViolations, result.configReverts, result.configLate, result.workAfterLeaving, result.dirtyStops, int(result.settled));
+		cr_assert(0 == result.violations(), "map violations %d, config reverts %d, late configurations %d, work after leaving %d, dirty stops %d, settled %d", result.mapViolations, result.configReverts, result.configLate, result.workAfterLeaving, result.dirtyStops, int(result.settled));
 	}
 } // namespace
 
