--- a/tools/chaos.cpp
+++ b/tools/chaos.cpp
@@ -15,28 +15,29 @@
 	{
 		using Json = nlohmann::json;
 
-		constexpr Millis kLeaveMs = 3'000;
+		constexpr Millis kMaxLeaveMs = 3'000; ///< Until a leaving agent gets no new calls.
 		constexpr Millis kTickMs = 50;
-		constexpr Millis kSampleMs = 250;
-		constexpr Millis kSettleMs = 40'000;
-		constexpr Millis kStopMs = 60'000;
+		constexpr Millis kPollIntervalMs = 250;
+		constexpr Millis kSettleTimeoutMs = 40'000;
+		constexpr Millis kExitTimeoutMs = 60'000;
 
-		/// A fault that has begun.
+		/// A fault in progress.
 		struct ActiveFault
 		{
 			PlannedFault plan;
 			Daemon* daemon = nullptr;
-			pid_t pid = -1; ///< Of the daemon's process when the fault began.
+			pid_t pid = -1; ///< Process of the daemon when the fault started.
 			std::string zone;
 			std::string otherZone;
 			std::vector<std::unique_ptr<ChildProcess>> commands;
 		};
 
-		struct Leaving
+		/// Time in which an agent is leaving because of a planned stop.
+		struct LeavingPeriod
 		{
 			std::string upstream;
 			Millis fromMs = 0;
-			Millis untilMs = 0; ///< It was started again; 0: not yet.
+			Millis untilMs = 0; ///< Time of its restart; 0: not restarted yet.
 		};
 
 		class Chaos
@@ -63,12 +64,12 @@
 				std::thread loadThread([&] {
 					load = runLoad(loadOptions);
 				});
-				this->playFaults();
-				this->heal();
+				this->runFaults();
+				this->recover();
 				stop = true;
 				loadThread.join();
-				this->result.settled = this->settle();
-				this->judgeAll(load);
+				this->result.settled = this->waitUntilSettled();
+				this->checkRecords(load);
 				return this->result;
 			}
 
@@ -98,11 +99,11 @@
 				return nowMs() - this->begunAt;
 			}
 
-			void playFaults()
+			void runFaults()
 			{
 				std::vector<PlannedFault> plan = planFaults(this->options);
 				std::vector<ActiveFault> active;
-				Millis sampledAt = 0;
+				Millis polledAt = 0;
 				while (!plan.empty() || !active.empty())
 				{
 					if (!plan.empty() && plan.front().startMs <= this->since())
@@ -111,25 +112,25 @@
 						plan.erase(plan.begin());
 					}
 					std::erase_if(active, [&](ActiveFault& _fault) {
-						const bool over = _fault.plan.startMs + _fault.plan.lastMs <= this->since();
-						if (over)
+						const bool isOver = _fault.plan.startMs + _fault.plan.durationMs <= this->since();
+						if (isOver)
 						{
 							this->end(_fault);
 						}
-						return over;
+						return isOver;
 					});
-					if (kSampleMs <= this->since() - sampledAt)
+					if (kPollIntervalMs <= this->since() - polledAt)
 					{
-						sampledAt = this->since();
+						polledAt = this->since();
 						this->versions.look();
 					}
 					pauseMs(kTickMs);
 				}
 			}
 
-			Daemon& pick(std::vector<std::unique_ptr<Daemon>>& _daemons, std::uint64_t _dice)
+			Daemon& pick(std::vector<std::unique_ptr<Daemon>>& _daemons, std::uint64_t _randomValue)
 			{
-				return *_daemons[_dice % _daemons.size()];
+				return *_daemons[_randomValue % _daemons.size()];
 			}
 
 			ActiveFault begin(const PlannedFault& _plan)
@@ -138,21 +139,21 @@
 				fault.plan = _plan;
 				this->result.faults[std::string(toString(_plan.kind))] += 1;
 				const std::vector<Zone>& zones = this->office.document().zones;
-				fault.zone = zones[_plan.dice % zones.size()].name;
-				fault.otherZone = zones[(_plan.dice + 1) % zones.size()].name;
+				fault.zone = zones[_plan.randomValue % zones.size()].name;
+				fault.otherZone = zones[(_plan.randomValue + 1) % zones.size()].name;
 				switch (_plan.kind)
 				{
 				case FaultKind::KillAgent:
 				case FaultKind::FreezeAgent:
 				case FaultKind::StopAgent:
-					fault.daemon = &this->pick(this->office.agents(), _plan.dice);
-					this->strike(fault);
+					fault.daemon = &this->pick(this->office.agents(), _plan.randomValue);
+					this->signalDaemon(fault);
 					break;
 				case FaultKind::KillEntry:
 				case FaultKind::FreezeEntry:
 				case FaultKind::StopEntry:
-					fault.daemon = &this->pick(this->office.entries(), _plan.dice);
-					this->strike(fault);
+					fault.daemon = &this->pick(this->office.entries(), _plan.randomValue);
+					this->signalDaemon(fault);
 					break;
 				case FaultKind::ResetLinks:
 					for (const std::unique_ptr<Daemon>& agent : this->office.agents())
@@ -176,15 +177,15 @@
 					this->office.platformFaults({{"loseAnswers", 3}});
 					break;
 				case FaultKind::RaceOperators:
-					this->race(fault);
+					this->startRace(fault);
 					break;
 				default:
-					this->drift(_plan.dice);
+					this->shiftPopularity(_plan.randomValue);
 				}
 				return fault;
 			}
 
-			void strike(ActiveFault& _fault)
+			void signalDaemon(ActiveFault& _fault)
 			{
 				_fault.pid = _fault.daemon->process->id();
 				switch (_fault.plan.kind)
@@ -206,12 +207,12 @@
 				}
 			}
 
-			void race(ActiveFault& _fault)
+			void startRace(ActiveFault& _fault)
 			{
-				for (int side = 0; side < 2; ++side)
+				for (int contender = 0; contender < 2; ++contender)
 				{
-					const int rate = 1'000 + 2 * int(_fault.plan.dice % 500) + side;
-					const std::string name = "race-" + std::to_string(_fault.plan.startMs) + "-" + std::to_string(side) + ".json";
+					const int rate = 1'000 + 2 * int(_fault.plan.randomValue % 500) + contender;
+					const std::string name = "race-" + std::to_string(_fault.plan.startMs) + "-" + std::to_string(contender) + ".json";
 					const std::string file = this->office.changedFile(name, [&](Json& _json) {
 						_json["organisations"][0]["requestsPerSecond"] = rate;
 					});
@@ -219,11 +220,11 @@
 				}
 			}
 
-			void drift(std::uint64_t _dice)
+			void shiftPopularity(std::uint64_t _randomValue)
 			{
 				std::vector<double> popularity(64, 1.0);
-				popularity[_dice % 8] = 12.0;
-				popularity[(_dice + 1) % 8] = 12.0;
+				popularity[_randomValue % 8] = 12.0;
+				popularity[(_randomValue + 1) % 8] = 12.0;
 				this->office.controlEngines({{"popularity", popularity}});
 			}
 
@@ -238,11 +239,11 @@
 				case FaultKind::StopAgent:
 				case FaultKind::StopEntry:
 					this->checkStop(*_fault.daemon, _fault.pid);
-					this->revive(*_fault.daemon);
+					this->restartIfStopped(*_fault.daemon);
 					break;
 				case FaultKind::KillAgent:
 				case FaultKind::KillEntry:
-					this->revive(*_fault.daemon);
+					this->restartIfStopped(*_fault.daemon);
 					break;
 				case FaultKind::CutZones:
 					this->office.cutZones(_fault.zone, _fault.otherZone, false);
@@ -267,11 +268,11 @@
 			{
 				if (_pid != _daemon.process->id())
 				{
-					return; // Killed and started anew meanwhile by another fault.
+					return; // Killed and restarted by another fault in the meantime.
 				}
-				// Frozen or killed meanwhile by another fault: not a planned stop any more.
+				// Another fault may have frozen it in the meantime. If it was killed, this is no planned stop any more.
 				_daemon.process->signal(SIGCONT);
-				const std::optional<int> code = _daemon.process->waitForExit(kStopMs);
+				const std::optional<int> code = _daemon.process->waitForExit(kExitTimeoutMs);
 				const std::string log = _daemon.process->log();
 				const bool killed = code && *code < 0;
 				if (!killed && (0 != code || std::string::npos == log.find("event=stopping unfinished=0")))
@@ -281,13 +282,13 @@
 				}
 			}
 
-			void revive(Daemon& _daemon)
+			void restartIfStopped(Daemon& _daemon)
 			{
 				if (_daemon.process->running())
 				{
 					return;
 				}
-				for (Leaving& item : this->leaving)
+				for (LeavingPeriod& item : this->leaving)
 				{
 					item.untilMs = item.upstream == _daemon.name && 0 == item.untilMs ? nowMs() : item.untilMs;
 				}
@@ -300,7 +301,7 @@
 				std::set<std::uint64_t> versions;
 				for (const std::unique_ptr<ChildProcess>& command : _fault.commands)
 				{
-					if (0 != command->waitForExit(kStopMs).value_or(-1))
+					if (0 != command->waitForExit(kExitTimeoutMs).value_or(-1))
 					{
 						continue;
 					}
@@ -312,12 +313,12 @@
 				if (versions.size() != std::size_t(accepted))
 				{
 					this->result.configReverts += 1;
-					this->result.notes.emplace_back("two operators were told the same version");
+					this->result.notes.emplace_back("two operators got the same version");
 				}
 				this->result.applies += accepted;
 			}
 
-			void heal()
+			void recover()
 			{
 				this->office.platformFaults({{"outage", false}, {"delayMs", 0}, {"loseAnswers", 0}});
 				for (auto* daemons : {&this->office.agents(), &this->office.entries()})
@@ -325,15 +326,15 @@
 					for (const std::unique_ptr<Daemon>& daemon : *daemons)
 					{
 						daemon->process->signal(SIGCONT);
-						this->revive(*daemon);
+						this->restartIfStopped(*daemon);
 					}
 				}
 			}
 
-			bool settle()
+			bool waitUntilSettled()
 			{
-				const bool ready = this->office.waitReady(kSettleMs);
-				const bool maps = this->office.waitMapsSettled(kSettleMs);
+				const bool ready = this->office.waitReady(kSettleTimeoutMs);
+				const bool maps = this->office.waitMapsSettled(kSettleTimeoutMs);
 				const std::uint64_t version = Json::parse(this->office.command({"status", "--platform", this->office.platform(), "--output", "json"}).output, nullptr, false).value("version", std::uint64_t(0));
 				const bool config = waitUntil(kInForceMs, [&] {
 					return std::all_of(this->office.entries().begin(), this->office.entries().end(), [&](const std::unique_ptr<Daemon>& _entry) {
@@ -348,7 +349,7 @@
 				return ready && maps && config;
 			}
 
-			void judgeAll(const LoadResult& _load)
+			void checkRecords(const LoadResult& _load)
 			{
 				this->result.load = figuresOf(_load);
 				this->result.calls = judge(_load, this->office.runs());
@@ -358,10 +359,10 @@
 				}
 				for (const CallRecord& call : _load.calls)
 				{
-					for (const Leaving& item : this->leaving)
+					for (const LeavingPeriod& item : this->leaving)
 					{
-						const bool after = call.begunAt > item.fromMs + kLeaveMs && (0 == item.untilMs || call.begunAt + Millis(call.totalMs) < item.untilMs);
-						this->result.workAfterLeaving += after && call.upstream == item.upstream ? 1 : 0;
+						const bool isLate = call.begunAt > item.fromMs + kMaxLeaveMs && (0 == item.untilMs || call.begunAt + Millis(call.totalMs) < item.untilMs);
+						this->result.workAfterLeaving += isLate && call.upstream == item.upstream ? 1 : 0;
 					}
 				}
 			}
@@ -371,8 +372,8 @@
 			Random random;
 			Millis begunAt = 0;
 			ChaosResult result;
-			VersionWatch versions{office, result};
-			std::vector<Leaving> leaving;
+			VersionMonitor versions{office, result};
+			std::vector<LeavingPeriod> leaving;
 		};
 	} // namespace
 
--- a/tools/chaos.h
+++ b/tools/chaos.h
@@ -1,5 +1,5 @@
-/// A seeded run of a whole office under load where faults come together and twice. The
-/// seed gives the schedule of faults; the records of all sides judge it at the end.
+/// A seeded run of an office under load with faults that overlap and repeat. The seed determines the
+/// schedule of faults; at the end the records of callers, daemons and stand-ins are checked for violations.
 #pragma once
 
 #include <cstdint>
@@ -27,7 +27,7 @@
 		StopAgent,
 		StopEntry,
 		Drift,
-		// Of the programs for the users' platform, see soak.h.
+		// Faults of the programs for the users' platform, see soak.h.
 		KillGateway,
 		FreezeGateway,
 		StopGateway,
@@ -48,70 +48,70 @@
 		ChangeConfiguration,
 		LateOrders,
 		FormAnew,
-		// Of series only, see planSeries().
-		AskBackOff, ///< An upstream turns requests away and says for how long.
-		SayLeaving, ///< An upstream says in its answers that it leaves; its row doesn't.
-		HangUpGateway,
+		// Faults that occur only in series, see planSeries().
+		AskBackOff,    ///< An upstream rejects requests and asks to be sent none for some time.
+		SayLeaving,    ///< An upstream's responses say that it is leaving, but its row does not.
+		HangUpGateway, ///< A gateway receives SIGHUP.
 		Count
 	};
 
-	/// Which faults a schedule draws from.
-	enum class Scene
+	/// What a run deploys, and thus which faults its schedule chooses from.
+	enum class ChaosTarget
 	{
 		Office,   ///< archdyke's own interface.
 		Platform, ///< The programs for the users' platform.
 		Count
 	};
 
-	/// @returns The name used in reports.
+	/// @returns The name of a fault in reports.
 	std::string_view toString(FaultKind _kind);
 
-	/// A fault of the schedule.
+	/// A scheduled fault.
 	struct PlannedFault
 	{
 		FaultKind kind = FaultKind::Drift;
-		Millis startMs = 0; ///< Since the run began.
-		Millis lastMs = 0;
-		std::uint64_t dice = 0; ///< Chooses the target.
+		Millis startMs = 0; ///< Time since the start of the run.
+		Millis durationMs = 0;
+		std::uint64_t randomValue = 0; ///< Random value that selects the target.
 
 		bool operator==(const PlannedFault&) const = default;
 	};
 
 	struct ChaosOptions
 	{
-		Scene scene = Scene::Office;
+		ChaosTarget target = ChaosTarget::Office;
 		std::string file;
 		std::uint64_t seed = 1;
 		std::uint32_t faults = 12;
-		std::uint32_t series = 0; ///< Of one kind in a row each, beside the faults.
-		bool large = false;       ///< As many processes as a machine bears beside others.
+		std::uint32_t series = 0; ///< Number of series in addition to the faults; each repeats one kind of fault.
+		bool large = false;       ///< About a hundred processes: as many as fit on a machine beside other runs.
 		double perSecond = 80.0;
-		Millis everyMs = 700; ///< Mean time between the starts of faults.
+		Millis meanIntervalMs = 700; ///< Mean time between the starts of faults.
 	};
 
 	struct ChaosResult
 	{
-		std::map<std::string, int> faults; ///< By kind.
+		std::map<std::string, int> faults; ///< Number of faults by kind.
 		LoadFigures load;
 		Violations calls;
 		int mapViolations = 0;    ///< Steps on different maps.
-		int configReverts = 0;    ///< An entry went back to an older version.
-		int configLate = 0;       ///< An entry served without a version accepted 4 s before.
-		int configInDoubt = 0;    ///< The same, and it says that it is in doubt.
-		int workAfterLeaving = 0; ///< Calls that began on a leaving agent after 3 s.
-		int dirtyStops = 0;       ///< Planned stops that ended with something unfinished.
-		int applies = 0;          ///< Accepted.
-		bool settled = false;     ///< All healed and on one configuration and one map.
+		int configReverts = 0;    ///< An entry returned to an older version.
+		int configLate = 0;       ///< An entry served without a version that was accepted more than 4 s before.
+		int configInDoubt = 0;    ///< As configLate, but the entry reported that its configuration is in doubt.
+		int workAfterLeaving = 0; ///< Calls that started more than 3 s after their agent began to leave.
+		int dirtyStops = 0;       ///< Planned stops that left work unfinished.
+		int applies = 0;          ///< Accepted configurations.
+		bool settled = false;     ///< After the faults, all daemons recovered and agree on one configuration and one map.
 		std::vector<std::string> notes;
 
 		int violations() const;
 	};
 
-	/// @returns The faults of a seed, in the order of their starts.
+	/// @returns The faults of a seed, ordered by start.
 	std::vector<PlannedFault> planFaults(const ChaosOptions& _options);
 
-	/// @returns Series of signals, restarts, changes and self-reports of upstreams. They overlap each other and the
-	/// faults of the seed, whose schedule stays as it is without them.
+	/// @returns Series of signals, restarts, configuration changes and self-reports of upstreams, ordered by start.
+	/// They overlap each other and the result of planFaults(), which does not depend on them.
 	std::vector<PlannedFault> planSeries(const ChaosOptions& _options);
 
 	ChaosResult runChaos(const ChaosOptions& _options);
--- a/tools/chaos_main.cpp
+++ b/tools/chaos_main.cpp
@@ -1,4 +1,5 @@
-/// archdyke-chaos: seeded runs of an office under faults, and what was violated.
+/// archdyke-chaos: runs an office, or the programs for the users' platform, under seeded faults and
+/// prints the violations.
 #include <algorithm>
 #include <cxxopts.hpp>
 #include <fmt/format.h>
@@ -41,8 +42,8 @@
 				statuses += fmt::format(" {}={}", 0 == status ? "broken" : std::to_string(status), count);
 			}
 			std::cout << fmt::format("seed {}: violations {}; calls:{}; faults:{}\n", _seed, _result.violations.total(), statuses, faults);
-			constexpr std::size_t kMostLines = 12;
-			for (std::size_t index = 0; index < std::min(kMostLines, _result.violations.lines.size()); ++index)
+			constexpr std::size_t kMaxViolationLines = 12;
+			for (std::size_t index = 0; index < std::min(kMaxViolationLines, _result.violations.lines.size()); ++index)
 			{
 				std::cout << "  " << _result.violations.lines[index] << "\n";
 			}
@@ -51,8 +52,8 @@
 
 		int run(int _argc, char** _argv)
 		{
-			cxxopts::Options options("archdyke-chaos", "Runs an office under load and seeded faults, and judges it.");
-			options.add_options()("file", "The operators' file", cxxopts::value<std::string>()->default_value(std::string(ARCHDYKE_SOURCE_DIR) + "/examples/small.json"))("seed", "First seed", cxxopts::value<std::uint64_t>()->default_value("1"))("seeds", "How many seeds", cxxopts::value<std::uint64_t>()->default_value("1"))("faults", "Faults of each run", cxxopts::value<std::uint32_t>()->default_value("20"))("rate", "Calls a second", cxxopts::value<double>()->default_value("80"))("series", "Series of signals, restarts, changes and self-reports of upstreams beside the faults, with --platform", cxxopts::value<std::uint32_t>()->default_value("0"))("large", "Some hundred processes, with --platform")("platform", "The programs for the users' platform, in place of an office")("h,help", "Print this help");
+			cxxopts::Options options("archdyke-chaos", "Runs an office under load and seeded faults and prints the violations.");
+			options.add_options()("file", "The operators' file", cxxopts::value<std::string>()->default_value(std::string(ARCHDYKE_SOURCE_DIR) + "/examples/small.json"))("seed", "First seed", cxxopts::value<std::uint64_t>()->default_value("1"))("seeds", "Number of seeds", cxxopts::value<std::uint64_t>()->default_value("1"))("faults", "Number of faults of each run", cxxopts::value<std::uint32_t>()->default_value("20"))("rate", "Calls per second", cxxopts::value<double>()->default_value("80"))("series", "Number of series of signals, restarts, configuration changes and self-reports of upstreams in addition to the faults; with --platform", cxxopts::value<std::uint32_t>()->default_value("0"))("large", "About a hundred processes; with --platform")("platform", "Run the programs for the users' platform instead of an office")("h,help", "Print this help");
 			const cxxopts::ParseResult parsed = options.parse(_argc, _argv);
 			if (0 < parsed.count("help"))
 			{
@@ -72,7 +73,7 @@
 				chaos.perSecond = parsed["rate"].as<double>();
 				if (0 < parsed.count("platform"))
 				{
-					chaos.scene = Scene::Platform;
+					chaos.target = ChaosTarget::Platform;
 					const SoakResult soak = runSoak(chaos);
 					print(seed, soak);
 					violations += soak.violations.total();
--- a/tools/chaos_plan.cpp
+++ b/tools/chaos_plan.cpp
@@ -19,7 +19,7 @@
 
 	std::vector<PlannedFault> planFaults(const ChaosOptions& _options)
 	{
-		const bool office = Scene::Office == _options.scene;
+		const bool office = ChaosTarget::Office == _options.target;
 		const std::uint64_t first = office ? 0 : std::uint64_t(FaultKind::KillGateway);
 		const std::uint64_t end = std::uint64_t(office ? FaultKind::KillGateway : FaultKind::AskBackOff);
 		Random random(_options.seed);
@@ -30,11 +30,11 @@
 			PlannedFault fault;
 			fault.kind = FaultKind(first + randomBelow(random, end - first));
 			fault.startMs = startMs;
-			fault.lastMs = 200 + Millis(randomBelow(random, 2'800));
-			fault.dice = random();
+			fault.durationMs = 200 + Millis(randomBelow(random, 2'800));
+			fault.randomValue = random();
 			plan.push_back(fault);
-			// Now and then two begin together.
-			startMs += 0 == randomBelow(random, 4) ? 0 : Millis(randomBelow(random, std::uint64_t(2 * _options.everyMs)));
+			// One in four faults starts together with its predecessor.
+			startMs += 0 == randomBelow(random, 4) ? 0 : Millis(randomBelow(random, std::uint64_t(2 * _options.meanIntervalMs)));
 		}
 		return plan;
 	}
@@ -42,24 +42,24 @@
 	std::vector<PlannedFault> planSeries(const ChaosOptions& _options)
 	{
 		constexpr FaultKind kKinds[] = {FaultKind::AskBackOff, FaultKind::SayLeaving, FaultKind::HangUpGateway, FaultKind::StopGateway, FaultKind::KillGateway, FaultKind::ChangeConfiguration, FaultKind::RevokeKey, FaultKind::KillSidecar};
-		constexpr std::uint64_t kLeast = 2;
-		constexpr std::uint64_t kMore = 3;
-		constexpr std::uint64_t kMostApartMs = 400; // less than a restart takes, so that one meets the next
-		constexpr std::uint64_t kOtherSeeds = 1'000'003;
-		Random random(_options.seed + kOtherSeeds);
+		constexpr std::uint64_t kMinSeriesLength = 2;
+		constexpr std::uint64_t kSeriesLengthRange = 3;
+		constexpr std::uint64_t kMaxGapMs = 400; // less than a restart takes, so that the next fault hits a restarting process
+		constexpr std::uint64_t kSeedOffset = 1'000'003;
+		Random random(_options.seed + kSeedOffset);
 		std::vector<PlannedFault> plan;
 		for (std::uint32_t series = 0; series < _options.series; ++series)
 		{
 			PlannedFault fault;
 			fault.kind = kKinds[randomBelow(random, std::size(kKinds))];
-			fault.startMs = 500 + Millis(randomBelow(random, std::uint64_t(_options.everyMs) * std::max<std::uint32_t>(1, _options.faults)));
-			const std::uint64_t length = kLeast + randomBelow(random, kMore);
+			fault.startMs = 500 + Millis(randomBelow(random, std::uint64_t(_options.meanIntervalMs) * std::max<std::uint32_t>(1, _options.faults)));
+			const std::uint64_t length = kMinSeriesLength + randomBelow(random, kSeriesLengthRange);
 			for (std::uint64_t index = 0; index < length; ++index)
 			{
-				fault.lastMs = 400 + Millis(randomBelow(random, 2'600));
-				fault.dice = random();
+				fault.durationMs = 400 + Millis(randomBelow(random, 2'600));
+				fault.randomValue = random();
 				plan.push_back(fault);
-				fault.startMs += Millis(randomBelow(random, kMostApartMs));
+				fault.startMs += Millis(randomBelow(random, kMaxGapMs));
 			}
 		}
 		std::stable_sort(plan.begin(), plan.end(), [](const PlannedFault& _a, const PlannedFault& _b) {
--- a/tools/chaos_versions.cpp
+++ b/tools/chaos_versions.cpp
@@ -4,22 +4,22 @@
 
 namespace archdyke::lab
 {
-	VersionWatch::VersionWatch(Office& _office, ChaosResult& _result)
+	VersionMonitor::VersionMonitor(Office& _office, ChaosResult& _result)
 	    : office(_office)
 	    , result(_result)
 	{
 	}
 
-	void VersionWatch::accepted(std::uint64_t _version, Millis _atMs)
+	void VersionMonitor::accepted(std::uint64_t _version, Millis _atMs)
 	{
-		this->acceptances.push_back({_version, _atMs});
+		this->acceptedVersions.push_back({_version, _atMs});
 	}
 
-	void VersionWatch::look()
+	void VersionMonitor::look()
 	{
 		for (const std::unique_ptr<Daemon>& entry : this->office.entries())
 		{
-			const Millis askedAt = nowMs();
+			const Millis polledAt = nowMs();
 			const nlohmann::json dump = this->office.dump(*entry);
 			if (!dump.is_object())
 			{
@@ -33,13 +33,13 @@
 				this->result.notes.push_back(entry->name + " went back to version " + std::to_string(version));
 			}
 			this->seen[incarnation] = version;
-			this->checkAge(*entry, dump, version, askedAt);
+			this->checkAge(*entry, dump, version, polledAt);
 		}
 	}
 
-	void VersionWatch::checkAge(const Daemon& _entry, const nlohmann::json& _dump, std::uint64_t _version, Millis _askedAt)
+	void VersionMonitor::checkAge(const Daemon& _entry, const nlohmann::json& _dump, std::uint64_t _version, Millis _askedAt)
 	{
-		const bool late = std::any_of(this->acceptances.begin(), this->acceptances.end(), [&](const Acceptance& _acceptance) {
+		const bool late = std::any_of(this->acceptedVersions.begin(), this->acceptedVersions.end(), [&](const AcceptedVersion& _acceptance) {
 			return _version < _acceptance.version && kInForceMs < _askedAt - _acceptance.atMs;
 		});
 		if (!late || !_dump["ready"].get<bool>())
--- a/tools/chaos_versions.h
+++ b/tools/chaos_versions.h
@@ -1,4 +1,4 @@
-/// Which configuration the entries of an office have, looked at while faults strike it.
+/// Checks the configuration versions of an office's entries while faults are injected.
 #pragma once
 
 #include <map>
@@ -10,23 +10,24 @@
 
 namespace archdyke::lab
 {
-	/// How long an accepted configuration may take until every entry that serves has it, ms.
+	/// Time until every serving entry must have an accepted configuration, ms.
 	constexpr Millis kInForceMs = 4'000;
 
-	class VersionWatch
+	class VersionMonitor
 	{
 	public:
-		/// @param[out] _result Gets what is wrong; outlives this.
-		VersionWatch(Office& _office, ChaosResult& _result);
+		/// @param[out] _result Receives the violations; must outlive this object.
+		VersionMonitor(Office& _office, ChaosResult& _result);
 
-		/// A version was accepted.
+		/// Records that a version was accepted.
 		void accepted(std::uint64_t _version, Millis _atMs);
 
-		/// Every entry that serves has what was accepted kInForceMs ago, and never goes back.
+		/// Checks that every serving entry has the versions accepted more than kInForceMs ago, and that none returns
+		/// to an older version.
 		void look();
 
 	private:
-		struct Acceptance
+		struct AcceptedVersion
 		{
 			std::uint64_t version = 0;
 			Millis atMs = 0;
@@ -36,7 +37,7 @@
 
 		Office& office;
 		ChaosResult& result;
-		std::vector<Acceptance> acceptances;
-		std::map<std::string, std::uint64_t> seen; ///< Version by incarnation.
+		std::vector<AcceptedVersion> acceptedVersions;
+		std::map<std::string, std::uint64_t> seen; ///< Last version by incarnation.
 	};
 } // namespace archdyke::lab
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -1,5 +1,5 @@
-/// archdyke-demo: starts an office on the embedded stand-ins, sends a load, applies a
-/// change while it runs, shows what happened, and stops everything in order.
+/// archdyke-demo: starts an office with stand-ins, sends a load, applies a configuration change
+/// meanwhile, prints the results, and stops all daemons cleanly.
 #include <csignal>
 #include <fmt/format.h>
 #include <iostream>
@@ -13,16 +13,16 @@
 {
 	namespace
 	{
-		constexpr Millis kStopMs = 20'000;
-		constexpr double kPerSecond = 80.0;
+		constexpr Millis kStopTimeoutMs = 20'000;
+		constexpr double kRequestsPerSecond = 80.0;
 		constexpr std::uint32_t kRequests = 640;
 
-		void say(const std::string& _line)
+		void printLine(const std::string& _line)
 		{
 			std::cout << _line << std::endl;
 		}
 
-		void showWhere(const LoadResult& _result)
+		void printUpstreams(const LoadResult& _result)
 		{
 			std::map<std::string, int> byUpstream;
 			for (const CallRecord& call : _result.calls)
@@ -34,49 +34,49 @@
 			{
 				line += fmt::format(" {}={}", name, count);
 			}
-			say(line);
+			printLine(line);
 		}
 
-		void showFigures(const LoadResult& _result)
+		void printFigures(const LoadResult& _result)
 		{
 			const LoadFigures figures = figuresOf(_result);
-			say(fmt::format("  outcomes: {} calls, {} whole, {} not run, {} unknown, {} broken off", figures.calls, figures.whole, figures.notRun, figures.unknown, figures.broken));
-			say(fmt::format("  first byte of streams: p50 {:.1f} ms, p95 {:.1f} ms, p99 {:.1f} ms", figures.firstP50, figures.firstP95, figures.firstP99));
-			say(fmt::format("  whole answers: p50 {:.1f} ms, p99 {:.1f} ms", figures.totalP50, figures.totalP99));
+			printLine(fmt::format("  outcomes: {} calls, {} whole, {} not run, {} unknown, {} broken off", figures.calls, figures.whole, figures.notRun, figures.unknown, figures.broken));
+			printLine(fmt::format("  first byte of streams: p50 {:.1f} ms, p95 {:.1f} ms, p99 {:.1f} ms", figures.firstP50, figures.firstP95, figures.firstP99));
+			printLine(fmt::format("  whole answers: p50 {:.1f} ms, p99 {:.1f} ms", figures.totalP50, figures.totalP99));
 			for (const auto& [reason, count] : figures.reasons)
 			{
-				say(fmt::format("  refused: {} ({})", count, reason));
+				printLine(fmt::format("  refused: {} ({})", count, reason));
 			}
 		}
 
-		void showApply(const CommandResult& _applied)
+		void printApply(const CommandResult& _applied)
 		{
 			const nlohmann::json json = nlohmann::json::parse(_applied.output, nullptr, false);
 			if (0 != _applied.exitCode || !json.is_object())
 			{
-				say("  apply failed: " + _applied.error);
+				printLine("  apply failed: " + _applied.error);
 				return;
 			}
-			say(fmt::format("  version {} accepted after {} ms", json["version"].get<int>(), json["acceptedAfterMs"].get<int>()));
+			printLine(fmt::format("  version {} accepted after {} ms", json["version"].get<int>(), json["acceptedAfterMs"].get<int>()));
 			for (const nlohmann::json& zone : json["zones"])
 			{
-				say(fmt::format("    in force in {} {} ms later", zone["zone"].get<std::string>(), zone["inForceAfterMs"].get<int>()));
+				printLine(fmt::format("    in force in {} {} ms later", zone["zone"].get<std::string>(), zone["inForceAfterMs"].get<int>()));
 			}
 		}
 
-		bool showSteps(Office& _office, const std::string& _when)
+		bool printSteps(Office& _office, const std::string& _when)
 		{
 			bool clean = true;
 			for (const nlohmann::json& record : _office.engineRecords())
 			{
-				say(fmt::format("  {}: {} busy steps {}, mean skew {:.0f}%, map epochs {}, steps on different maps {}", record["group"].get<std::string>(), record["busySteps"].get<int>(), _when, 100.0 * record["meanSkew"].get<double>(), record["epochs"].dump(), record["mapViolations"].get<int>()));
+				printLine(fmt::format("  {}: {} busy steps {}, mean skew {:.0f}%, map epochs {}, steps on different maps {}", record["group"].get<std::string>(), record["busySteps"].get<int>(), _when, 100.0 * record["meanSkew"].get<double>(), record["epochs"].dump(), record["mapViolations"].get<int>()));
 				clean = clean && 0 == record["mapViolations"].get<int>();
 			}
 			return clean;
 		}
 
-		/// A few experts get most of the tokens, as in a season.
-		void drift(Office& _office)
+		/// Shifts the load to a few popular experts, as a seasonal change of demand does.
+		void shiftPopularity(Office& _office)
 		{
 			const Service* model = nullptr;
 			for (const Service& service : _office.document().services)
@@ -99,7 +99,7 @@
 				}
 				for (const std::unique_ptr<Daemon>& daemon : _daemons)
 				{
-					clean = 0 == daemon->process->waitForExit(kStopMs) && clean;
+					clean = 0 == daemon->process->waitForExit(kStopTimeoutMs) && clean;
 				}
 			};
 			stop(_office.entries());
@@ -109,21 +109,21 @@
 
 		int run(const std::string& _file)
 		{
-			OfficeOptions setup;
-			setup.file = _file;
-			Office office(setup);
-			say(fmt::format("office {}: {} entries in {} zones, {} agents before their upstreams", office.document().office, office.entries().size(), office.document().zones.size(), office.agents().size()));
-			say("apply " + _file);
-			showApply(office.apply());
+			OfficeOptions officeOptions;
+			officeOptions.file = _file;
+			Office office(officeOptions);
+			printLine(fmt::format("office {}: {} entries in {} zones, {} agents before their upstreams", office.document().office, office.entries().size(), office.document().zones.size(), office.agents().size()));
+			printLine("apply " + _file);
+			printApply(office.apply());
 			if (!office.waitReady())
 			{
-				say("the office did not get ready");
+				printLine("the office did not get ready");
 				return 1;
 			}
 			LoadOptions options = office.loadOptions();
-			options.perSecond = kPerSecond;
+			options.perSecond = kRequestsPerSecond;
 			options.requests = kRequests;
-			say(fmt::format("load: {} requests at {}/s; one organisation's limit changes and is applied meanwhile", options.requests, options.perSecond));
+			printLine(fmt::format("load: {} requests at {}/s; one organisation's limit changes and is applied meanwhile", options.requests, options.perSecond));
 			LoadResult result;
 			std::thread load([&] {
 				result = runLoad(options);
@@ -131,24 +131,24 @@
 			waitUntil(3'000, [] {
 				return false;
 			});
-			const bool before = showSteps(office, "before the drift");
-			drift(office);
+			const bool before = printSteps(office, "before the drift");
+			shiftPopularity(office);
 			const std::string changed = office.changedFile("changed.json", [](nlohmann::json& _json) {
 				_json["organisations"][2]["requestsPerSecond"] = 60;
 			});
 			const CommandResult applied = office.apply(changed);
-			showApply(applied);
+			printApply(applied);
 			load.join();
-			showWhere(result);
-			showFigures(result);
-			const bool after = showSteps(office, "after it");
+			printUpstreams(result);
+			printFigures(result);
+			const bool after = printSteps(office, "after it");
 			const Violations violations = judge(result, office.runs());
-			say(fmt::format("judged by the stand-ins' records: foreign answers {}, cut answers that looked whole {}, ran though told not run {}, ran twice {}, left without an answer {}", violations.foreign, violations.cutClean, violations.falseNotRun, violations.doubled, violations.silent));
+			printLine(fmt::format("judged by the stand-ins' records: foreign answers {}, cut answers that looked whole {}, ran though told not run {}, ran twice {}, left without an answer {}", violations.foreign, violations.cutClean, violations.falseNotRun, violations.doubled, violations.silent));
 			const bool stopped = stopAll(office);
-			say(stopped ? "all daemons stopped in order" : "a daemon did not stop in order");
+			printLine(stopped ? "all daemons stopped in order" : "a daemon did not stop in order");
 			const LoadFigures figures = figuresOf(result);
 			const bool good = 0 == violations.total() && figures.calls == figures.whole && 0 == applied.exitCode && before && after && stopped;
-			say(good ? "nothing was lost, doubled, mixed up or cut" : "SOMETHING WENT WRONG, see above");
+			printLine(good ? "nothing was lost, doubled, mixed up or cut" : "SOMETHING WENT WRONG, see above");
 			return good ? 0 : 1;
 		}
 	} // namespace
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -17,14 +17,14 @@
 		using Json = nlohmann::json;
 
 		constexpr const char* kLoopback = "127.0.0.1:0";
-		constexpr Millis kCommandMs = 60'000;
+		constexpr Millis kCommandTimeoutMs = 60'000;
 
 		std::string makeDirectory()
 		{
 			std::string pattern = (std::filesystem::temp_directory_path() / "archdyke-XXXXXX").string();
 			if (nullptr == mkdtemp(pattern.data()))
 			{
-				throw std::runtime_error("can't make a directory for logs");
+				throw std::runtime_error("cannot create a temporary directory for logs");
 			}
 			return pattern;
 		}
@@ -34,11 +34,11 @@
 			std::ofstream(_path, std::ios::binary) << _text;
 		}
 
-		std::vector<std::string> split(const std::string& _text, char _mark)
+		std::vector<std::string> split(const std::string& _text, char _separator)
 		{
 			std::vector<std::string> parts;
 			std::istringstream stream(_text);
-			for (std::string part; std::getline(stream, part, _mark);)
+			for (std::string part; std::getline(stream, part, _separator);)
 			{
 				parts.push_back(part);
 			}
@@ -111,7 +111,7 @@
 					return *daemon;
 				}
 			}
-			throw std::runtime_error("no daemon " + _name);
+			throw std::runtime_error("the office has no daemon named " + _name);
 		}
 	} // namespace
 
@@ -233,7 +233,7 @@
 		_daemon.rpc = _daemon.process->listening("rpc");
 		_daemon.admin = _daemon.process->listening("admin");
 		_daemon.http = _daemon.process->listening("http");
-		// A VM keeps its address when its process starts anew.
+		// A VM keeps its addresses when its process restarts.
 		for (const auto& [field, address] : {std::pair{"rpc", &_daemon.rpc}, {"admin", &_daemon.admin}, {"http", &_daemon.http}})
 		{
 			if (_daemon.settings.contains(field))
@@ -310,7 +310,7 @@
 	CommandResult Office::command(std::vector<std::string> _arguments)
 	{
 		const std::unique_ptr<ChildProcess> process = this->begin(std::move(_arguments));
-		const std::optional<int> exitCode = process->waitForExit(kCommandMs);
+		const std::optional<int> exitCode = process->waitForExit(kCommandTimeoutMs);
 		return {exitCode.value_or(-1), process->output(), process->log()};
 	}
 
--- a/tools/lab.h
+++ b/tools/lab.h
@@ -1,5 +1,5 @@
-/// A whole office on this machine: stand-ins, agents and entries as real processes on
-/// ports that the kernel chooses, optionally behind the fault proxy.
+/// Runs an office on this machine: stand-ins, agents and entries as separate processes on
+/// ports chosen by the kernel, optionally connected through the fault proxy.
 #pragma once
 
 #include <map>
@@ -15,18 +15,18 @@
 
 namespace archdyke::lab
 {
-	/// How an office is set up.
+	/// Options of an office.
 	struct OfficeOptions
 	{
-		std::string file; ///< The operators' file.
+		std::string file; ///< Path of the operators' file.
 		std::uint32_t entriesPerZone = 2;
-		bool viaProxy = false; ///< All links between processes can be cut.
+		bool viaProxy = false; ///< Routes all links between processes through the fault proxy.
 		nlohmann::json engine = nlohmann::json::object();
 		std::uint32_t engineSlots = 16;
 		std::uint32_t serviceSlots = 32;
 	};
 
-	/// A running daemon with what starts it again.
+	/// A running daemon and what is needed to restart it.
 	struct Daemon
 	{
 		std::string name;
@@ -39,7 +39,7 @@
 		std::unique_ptr<ChildProcess> process;
 	};
 
-	/// A stand-in's address as one upstream sees it.
+	/// The stand-in of one upstream and its address.
 	struct UpstreamStub
 	{
 		std::string name;
@@ -68,11 +68,12 @@
 		Daemon& agent(const std::string& _name);
 		const std::vector<UpstreamStub>& stubs() const;
 
-		/// @returns Load options for this office through all its entries.
+		/// @returns Options for a load on this office through all its entries.
 		LoadOptions loadOptions() const;
 		const std::string& platform() const;
 
-		/// Applies a file with the operators' command; the office's own when empty.
+		/// Applies a file with the operators' command.
+		/// @param[in] _file The office's own file when empty.
 		CommandResult apply(const std::string& _file = "", std::vector<std::string> _more = {});
 		CommandResult command(std::vector<std::string> _arguments);
 
@@ -80,51 +81,54 @@
 		std::unique_ptr<ChildProcess> begin(std::vector<std::string> _arguments);
 
 		/// Writes a changed copy of the office's file.
+		/// @returns Path of the copy.
 		std::string changedFile(const std::string& _name, const std::function<void(nlohmann::json&)>& _change);
 
-		/// Waits until all entries are ready and have links to all agents.
+		/// Waits until all entries are ready and connected to all agents.
+		/// @returns Whether that happened in time.
 		bool waitReady(Millis _timeoutMs = 20'000);
 
-		/// Starts a daemon again, on the same VM.
+		/// Restarts a daemon on the same VM, i.e. with the same addresses.
 		void restart(Daemon& _daemon);
 
 		/// Kills the stand-in of a plain upstream.
 		void killStub(const std::string& _upstream);
 
-		/// Starts stand-ins of plain upstreams that have ended again, at their addresses.
-		/// @returns How many had ended.
+		/// Restarts the stand-ins of plain upstreams that have exited, at their previous addresses.
+		/// @returns Number of restarted stand-ins.
 		std::size_t reviveStubs();
 
-		/// Announces a daemon to the platform's list.
+		/// Adds or updates a daemon in the platform's list of VMs.
 		void announce(const Daemon& _daemon, const std::string& _state = "live");
 
 		void platformFaults(const nlohmann::json& _faults);
 		void linkFaults(const std::string& _link, const nlohmann::json& _faults);
 
-		/// @returns Bytes that went over each link, both ways.
+		/// @returns Bytes transferred over each link, in both directions together.
 		nlohmann::json linkCounts();
 
-		/// Cuts or mends all links between two zones, or between a zone and the platform.
+		/// Cuts or restores all links between two zones, or between a zone and the platform.
 		void cutZones(const std::string& _a, const std::string& _b, bool _cut);
 		void cutPlatform(const std::string& _zone, bool _cut);
 
-		/// @returns Name of the link from a zone to an agent or entry.
+		/// @returns Name of the link from a zone to an agent or an entry.
 		static std::string linkName(const std::string& _fromZone, const std::string& _to);
 
 		nlohmann::json dump(const Daemon& _daemon) const;
 
-		/// @returns How often each token ran, over all stand-ins of the upstreams.
+		/// @returns Number of runs of each token, summed over the stand-ins of all upstreams.
 		std::map<std::string, int> runs();
 
 		/// @returns One record for each group of engine ranks.
 		std::vector<nlohmann::json> engineRecords();
 
-		/// Waits until the ranks of every group are on one map, with no switch open, and go
-		/// on stepping.
+		/// Waits until the ranks of every group use the same map, no map switch is pending, and the
+		/// groups make steps.
+		/// @returns Whether that happened in time.
 		bool waitMapsSettled(Millis _timeoutMs);
 
-		/// Sends an order to every group's stand-in.
-		void controlEngines(const nlohmann::json& _order);
+		/// Sends a control message to the stand-in of every group.
+		void controlEngines(const nlohmann::json& _control);
 
 	private:
 		std::string logPath(const std::string& _name) const;
@@ -148,11 +152,11 @@
 		std::vector<std::string> groupAddresses;
 		std::vector<std::unique_ptr<Daemon>> entryDaemons;
 		std::vector<std::unique_ptr<Daemon>> agentDaemons;
-		std::set<std::string> announced; ///< Whose links through the proxy are made.
+		std::set<std::string> announced; ///< Daemons whose links through the proxy exist.
 		int commands = 0;
 	};
 
-	/// Sends JSON to a stand-in or a daemon.
-	/// @returns The answer; null when there is none.
+	/// Sends a JSON request to a stand-in or a daemon.
+	/// @returns The response body; null without a response.
 	nlohmann::json sendJson(const std::string& _address, const std::string& _method, const std::string& _path, const nlohmann::json& _body = nullptr);
 } // namespace archdyke::lab
--- a/tools/lab_faults.cpp
+++ b/tools/lab_faults.cpp
@@ -9,19 +9,19 @@
 	{
 		using Json = nlohmann::json;
 
-		/// @returns What a stand-in recorded. Without an answer there is no telling what ran, so it is asked again.
-		/// @throws std::runtime_error When it doesn't answer.
+		/// Reads the record of a stand-in. Retries without a response, as the record alone shows what ran.
+		/// @throws std::runtime_error When there is no response within 20 s.
 		Json recordAt(const std::string& _address)
 		{
-			constexpr Millis kWaitMs = 20'000;
+			constexpr Millis kRecordTimeoutMs = 20'000;
 			Json record;
-			const bool had = waitUntil(kWaitMs, [&] {
+			const bool received = waitUntil(kRecordTimeoutMs, [&] {
 				record = sendJson(_address, "GET", "/record");
 				return record.is_object();
 			});
-			if (!had)
+			if (!received)
 			{
-				throw std::runtime_error("the stand-in at " + _address + " does not tell its record; look at its log");
+				throw std::runtime_error("the stand-in at " + _address + " did not return its record; see its log");
 			}
 			return record;
 		}
@@ -75,11 +75,11 @@
 		this->stubProcesses.at(_upstream)->kill();
 	}
 
-	void Office::controlEngines(const Json& _order)
+	void Office::controlEngines(const Json& _control)
 	{
 		for (const std::string& address : this->groupAddresses)
 		{
-			sendJson(address, "POST", "/control", _order);
+			sendJson(address, "POST", "/control", _control);
 		}
 	}
 
--- a/tools/lab_process.cpp
+++ b/tools/lab_process.cpp
@@ -16,7 +16,7 @@
 {
 	namespace
 	{
-		constexpr Millis kStartMs = 20'000;
+		constexpr Millis kStartTimeoutMs = 20'000;
 
 		std::string readAll(const std::string& _path)
 		{
@@ -26,8 +26,8 @@
 			return text.str();
 		}
 
-		/// Becomes the program. Only async-signal-safe calls.
-		[[noreturn]] void becomeProgram(const char* _program, char* const* _arguments, const char* _log, const char* _output)
+		/// Replaces the forked child by the program. Makes only async-signal-safe calls.
+		[[noreturn]] void execProgram(const char* _program, char* const* _arguments, const char* _log, const char* _output)
 		{
 			prctl(PR_SET_PDEATHSIG, SIGKILL);
 			sigset_t none;
@@ -48,13 +48,13 @@
 
 	std::string fieldOf(const std::string& _line, const std::string& _key)
 	{
-		const std::string mark = " " + _key + "=";
-		const std::size_t at = _line.find(mark);
+		const std::string prefix = " " + _key + "=";
+		const std::size_t at = _line.find(prefix);
 		if (std::string::npos == at)
 		{
 			return "";
 		}
-		const std::size_t begin = at + mark.size();
+		const std::size_t begin = at + prefix.size();
 		return _line.substr(begin, _line.find_first_of(" \n", begin) - begin);
 	}
 
@@ -69,13 +69,13 @@
 		}
 		pointers.push_back(nullptr);
 		const std::string outputPath = this->logPath + ".out";
-		// A process of that name before this one left its lines; nobody may take them for new ones.
-		std::error_code ignored; // there is none as a rule
+		// Removes the output of an earlier process with the same log path, so that it is not read as this one's.
+		std::error_code ignored; // usually there is no such file
 		std::filesystem::remove(outputPath, ignored);
 		this->pid = fork();
 		if (0 == this->pid)
 		{
-			becomeProgram(_program.c_str(), pointers.data(), this->logPath.c_str(), outputPath.c_str());
+			execProgram(_program.c_str(), pointers.data(), this->logPath.c_str(), outputPath.c_str());
 		}
 	}
 
@@ -87,16 +87,16 @@
 	std::string ChildProcess::listening(const std::string& _field)
 	{
 		std::string line;
-		const bool there = waitUntil(kStartMs, [&] {
+		const bool ready = waitUntil(kStartTimeoutMs, [&] {
 			const std::string text = this->log();
 			const std::size_t at = text.rfind("event=listening");
-			const bool whole = std::string::npos != at && std::string::npos != text.find('\n', at);
-			line = whole ? text.substr(at, text.find('\n', at) - at) : "";
-			return whole || !this->running();
+			const bool complete = std::string::npos != at && std::string::npos != text.find('\n', at);
+			line = complete ? text.substr(at, text.find('\n', at) - at) : "";
+			return complete || !this->running();
 		});
-		if (!there || line.empty())
+		if (!ready || line.empty())
 		{
-			throw std::runtime_error("a process did not start; its log " + this->logPath + ":\n" + this->log());
+			throw std::runtime_error("a process did not report event=listening; its log " + this->logPath + ":\n" + this->log());
 		}
 		return fieldOf(line, _field);
 	}
@@ -117,10 +117,10 @@
 
 	void ChildProcess::reap(int _options)
 	{
-		int raw = 0;
-		if (!this->status && this->pid == waitpid(this->pid, &raw, _options))
+		int waitStatus = 0;
+		if (!this->status && this->pid == waitpid(this->pid, &waitStatus, _options))
 		{
-			this->status = WIFEXITED(raw) ? WEXITSTATUS(raw) : -WTERMSIG(raw);
+			this->status = WIFEXITED(waitStatus) ? WEXITSTATUS(waitStatus) : -WTERMSIG(waitStatus);
 		}
 	}
 
--- a/tools/lab_process.h
+++ b/tools/lab_process.h
@@ -1,4 +1,4 @@
-/// Child processes of a lab: started with their log in a file, stopped with it.
+/// Child processes of the test tools, with their logs in files.
 #pragma once
 
 #include <optional>
@@ -10,10 +10,12 @@
 
 namespace archdyke::lab
 {
+	/// A child process, which is killed when this object is destroyed.
 	class ChildProcess
 	{
 	public:
-		/// Starts a program. Its standard error and output go to files beside _logPath.
+		/// Starts a program. Its standard error is appended to _logPath, its standard output is
+		/// written to _logPath + ".out".
 		ChildProcess(const std::string& _program, std::vector<std::string> _arguments, std::string _logPath);
 		~ChildProcess();
 		ChildProcess(const ChildProcess&) = delete;
@@ -21,15 +23,15 @@
 
 		/// Waits for the log line event=listening.
 		/// @returns The value of one of its fields.
-		/// @throws std::runtime_error When it doesn't come within 20 s or the process ends.
+		/// @throws std::runtime_error When the line does not appear within 20 s or the process exits.
 		std::string listening(const std::string& _field);
 
 		void signal(int _signal);
 
-		/// Kills it and waits for its end.
+		/// Kills the process and waits until it has exited.
 		void kill();
 
-		/// @returns Exit code, -signal for a death by signal; none when the time has come.
+		/// @returns Exit code, or the negated number of the signal that ended the process; nothing on a timeout.
 		std::optional<int> waitForExit(Millis _timeoutMs);
 
 		bool running();
@@ -45,15 +47,15 @@
 		std::optional<int> status;
 	};
 
-	/// Waits until a condition holds; looks every 10 ms.
-	/// @returns Whether it held in time.
+	/// Waits until a condition holds; checks it every 10 ms.
+	/// @returns Whether it held before the timeout.
 	template <typename Holds>
 	bool waitUntil(Millis _timeoutMs, Holds _holds);
 
-	/// Lets time pass: between two looks at a condition, or while a fault lasts.
+	/// Blocks the calling thread.
 	void pauseMs(Millis _ms);
 
-	/// @returns The value of a key in a key=value line; empty when it isn't there.
+	/// @returns The value of a key in a line of key=value pairs; empty when the key is missing.
 	std::string fieldOf(const std::string& _line, const std::string& _key);
 } // namespace archdyke::lab
 
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -19,7 +19,7 @@
 	{
 		using Json = nlohmann::json;
 
-		constexpr int kReadSeconds = 40;
+		constexpr int kReadTimeoutS = 40;
 		constexpr const char* kOutcomeHeader = "X-Archdyke-Outcome";
 
 		double elapsedMs(std::chrono::steady_clock::time_point _since)
@@ -27,7 +27,7 @@
 			return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - _since).count();
 		}
 
-		/// Some sessions share a prefix, as menus of one home do.
+		/// Builds the messages of a call. Calls of the same home share a prefix.
 		Json messagesOf(const std::string& _token)
 		{
 			const std::uint64_t home = stableHash(_token) % 20;
@@ -60,12 +60,12 @@
 			return stub::answerText(messagesOf(_token).dump(), _options.tokens);
 		}
 
-		/// Joins the words of a streamed answer.
+		/// Text of a streamed response.
 		struct StreamText
 		{
 			std::string text;
-			bool done = false;  ///< The closing event came.
-			bool error = false; ///< An error event came.
+			bool done = false;  ///< The closing event was received.
+			bool error = false; ///< An error event was received.
 		};
 
 		StreamText readStream(const std::string& _body)
@@ -125,7 +125,7 @@
 			                                                          : Outcome::Unknown;
 		}
 
-		void readFinal(CallRecord& _record, const httplib::Response& _response)
+		void readErrorReason(CallRecord& _record, const httplib::Response& _response)
 		{
 			const Json body = Json::parse(_response.body, nullptr, false);
 			_record.reason = body.is_object() && body.contains("error") ? body["error"].value("reason", "") : "status " + std::to_string(_response.status);
@@ -141,7 +141,7 @@
 		const Address address = parseAddress(_entry);
 		httplib::Client client(address.host, address.port);
 		client.set_connection_timeout(2);
-		client.set_read_timeout(kReadSeconds);
+		client.set_read_timeout(kReadTimeoutS);
 		client.set_tcp_nodelay(true);
 		const auto begun = std::chrono::steady_clock::now();
 		httplib::Request request = makeRequest(_options, _kind, _token, _organisation);
@@ -153,7 +153,7 @@
 			return true;
 		};
 		request.content_receiver = [&](const char* _data, std::size_t _size, std::uint64_t, std::uint64_t) {
-			record.firstMs = record.firstMs < 0.0 ? elapsedMs(begun) : record.firstMs;
+			record.firstByteMs = record.firstByteMs < 0.0 ? elapsedMs(begun) : record.firstByteMs;
 			body.append(_data, _size);
 			return true;
 		};
@@ -172,7 +172,7 @@
 		record.told.push_back(readOutcome(response.get_header_value(kOutcomeHeader)));
 		if (200 != response.status)
 		{
-			readFinal(record, response);
+			readErrorReason(record, response);
 			return record;
 		}
 		if (CallKind::Streamed == _kind)
@@ -198,14 +198,14 @@
 	{
 		CallKind kindOf(Random& _random)
 		{
-			const std::uint64_t dice = randomBelow(_random, 10);
-			return dice < 4 ? CallKind::Streamed : dice < 6 ? CallKind::Whole
-			                                   : dice < 8   ? CallKind::Lookup
+			const std::uint64_t pick = randomBelow(_random, 10);
+			return pick < 4 ? CallKind::Streamed : pick < 6 ? CallKind::Whole
+			                                   : pick < 8   ? CallKind::Lookup
 			                                                : CallKind::NotRepeatable;
 		}
 
-		/// Sends a call, again through another entry while there is no answer at all.
-		CallRecord sendWithRepeats(const LoadOptions& _options, std::optional<CallKind> _only, std::uint32_t _index, std::chrono::steady_clock::time_point _due)
+		/// Sends a call; retries it through the next entry while there is no response, with at most 3 attempts.
+		CallRecord sendWithRetries(const LoadOptions& _options, std::optional<CallKind> _only, std::uint32_t _index, std::chrono::steady_clock::time_point _due)
 		{
 			Random random(_options.seed * 1'000'003 + _index);
 			const CallKind kind = _only.value_or(kindOf(random));
@@ -214,16 +214,16 @@
 			CallRecord record;
 			int lost = 0;
 			std::vector<Outcome> told;
-			for (int sending = 0; sending < 3; ++sending)
+			for (int attempt = 0; attempt < 3; ++attempt)
 			{
 				const double lateMs = elapsedMs(_due);
-				const std::string& entry = _options.entries[(_index + std::uint32_t(sending)) % _options.entries.size()];
+				const std::string& entry = _options.entries[(_index + std::uint32_t(attempt)) % _options.entries.size()];
 				record = sendCall(_options, kind, token, entry, organisation);
-				record.firstMs += 0.0 <= record.firstMs ? lateMs : 0.0;
+				record.firstByteMs += 0.0 <= record.firstByteMs ? lateMs : 0.0;
 				record.totalMs += lateMs;
 				lost += record.lost;
 				told.insert(told.end(), record.told.begin(), record.told.end());
-				if (0 == record.lost || !_options.repeatLost)
+				if (0 == record.lost || !_options.retryLost)
 				{
 					break;
 				}
@@ -242,7 +242,7 @@
 			absl::Mutex mutex;
 			std::atomic<std::uint32_t> next{0};
 			const auto begun = std::chrono::steady_clock::now();
-			const auto work = [&] {
+			const auto threadMain = [&] {
 				while (true)
 				{
 					const std::uint32_t index = next.fetch_add(1);
@@ -252,7 +252,7 @@
 					}
 					const auto due = begun + std::chrono::duration_cast<std::chrono::steady_clock::duration>(std::chrono::duration<double>(double(index) / _options.perSecond));
 					std::this_thread::sleep_until(due);
-					CallRecord record = sendWithRepeats(_options, _only, index, due);
+					CallRecord record = sendWithRetries(_options, _only, index, due);
 					absl::MutexLock lock(&mutex);
 					result.calls.push_back(std::move(record));
 				}
@@ -260,7 +260,7 @@
 			std::vector<std::thread> threads;
 			for (std::uint32_t index = 0; index < _options.threads; ++index)
 			{
-				threads.emplace_back(work);
+				threads.emplace_back(threadMain);
 			}
 			for (std::thread& thread : threads)
 			{
--- a/tools/load.h
+++ b/tools/load.h
@@ -1,5 +1,5 @@
-/// Load on an office: requests at scheduled times whatever the answers (open loop), each
-/// checked for wholeness and ownership, with a ledger of what its caller was told.
+/// Open-loop load on an office: requests are sent at scheduled times, independent of the responses.
+/// Each response is checked to be complete and to belong to its request, and the reported outcome is recorded.
 #pragma once
 
 #include <atomic>
@@ -12,7 +12,7 @@
 
 namespace archdyke::lab
 {
-	/// Kinds of calls in a mix.
+	/// Kinds of calls of a load.
 	enum class CallKind
 	{
 		Streamed,
@@ -22,44 +22,44 @@
 		Count
 	};
 
-	/// One profile of load.
+	/// Options of a load.
 	struct LoadOptions
 	{
-		std::vector<std::string> entries;       ///< Addresses of callers' side.
-		std::vector<std::string> organisations; ///< Whose keys are "key-NAME".
+		std::vector<std::string> entries;       ///< Addresses for callers.
+		std::vector<std::string> organisations; ///< Their API keys are "key-NAME".
 		std::string model;
 		std::string plain;
-		std::string notRepeatablePath; ///< Of the plain service.
+		std::string notRepeatablePath; ///< Path prefix of the plain service.
 		double perSecond = 50.0;
 		std::uint32_t requests = 200;
-		std::uint32_t tokens = 24; ///< Of each model answer.
+		std::uint32_t tokens = 24; ///< Tokens of each model response.
 		std::uint32_t threads = 64;
 		std::uint64_t seed = 1;
-		std::string tokenPrefix = "t"; ///< So that two loads don't share tokens.
-		bool repeatLost = true;        ///< Send a call again whose entry gave no answer.
+		std::string tokenPrefix = "t"; ///< Must differ between loads on the same office.
+		bool retryLost = true;         ///< Retry a call without any response at the next entry.
 		const std::atomic<bool>* stop = nullptr;
 	};
 
-	/// @returns Options for the services and organisations of a file, with no entries yet.
+	/// @returns Options for the services and organisations of a file, without entries.
 	LoadOptions loadOptionsFor(const Document& _document);
 
-	/// What became of one call.
+	/// Result of one call.
 	struct CallRecord
 	{
 		CallKind kind = CallKind::Streamed;
 		std::string token;
-		std::vector<Outcome> told; ///< For each sending that got a final answer.
-		int lost = 0;              ///< Sendings without an answer.
-		int status = 0;            ///< Of the last answer.
-		bool whole = false;        ///< An answer came whole and is this call's own.
-		bool foreign = false;      ///< Bytes that aren't this call's.
-		bool cutClean = false;     ///< An answer ended cleanly and is not whole.
-		bool brokenTold = false;   ///< An answer broke off and the caller could see it.
-		std::string reason;        ///< Of a final answer that is not an upstream's.
-		double firstMs = -1.0;     ///< From the scheduled time to the first byte.
-		double totalMs = -1.0;
+		std::vector<Outcome> told; ///< Reported outcome of each attempt with a response.
+		int lost = 0;              ///< Number of attempts without a response.
+		int status = 0;            ///< HTTP status of the last response.
+		bool whole = false;        ///< The response is complete and belongs to this call.
+		bool foreign = false;      ///< The response has bytes that don't belong to this call.
+		bool cutClean = false;     ///< The response is truncated but ended without an error.
+		bool brokenTold = false;   ///< The response is truncated and the caller could detect it.
+		std::string reason;        ///< Reason of a final response that is not an upstream's.
+		double firstByteMs = -1.0; ///< Time from the scheduled start to the first byte, ms; negative: none.
+		double totalMs = -1.0;     ///< Time from the scheduled start to the end, ms.
 		std::string upstream;
-		Millis begunAt = 0; ///< On nowMs.
+		Millis begunAt = 0; ///< On the clock of nowMs().
 	};
 
 	struct LoadResult
@@ -67,32 +67,34 @@
 		std::vector<CallRecord> calls;
 	};
 
+	/// Runs a load with calls of all kinds.
 	LoadResult runLoad(const LoadOptions& _options);
 
-	/// The same with calls of one kind only: lookups of the plain service, or streams.
+	/// Run a load with calls of one kind only: lookups of the plain service, or streamed calls.
 	LoadResult runPlain(const LoadOptions& _options);
 	LoadResult runStreams(const LoadOptions& _options);
 
 	/// Sends one call through one entry.
 	CallRecord sendCall(const LoadOptions& _options, CallKind _kind, const std::string& _token, const std::string& _entry, const std::string& _organisation);
 
-	/// What is wrong by the records of both sides.
+	/// Violations found by comparing the callers' records with those of the stand-ins.
 	struct Violations
 	{
-		int foreign = 0;     ///< A caller got bytes that aren't its own.
-		int cutClean = 0;    ///< A cut answer ended as if it were whole.
-		int falseNotRun = 0; ///< Told not run, and it ran.
-		int doubled = 0;     ///< Not repeatable, and it ran more than once.
-		int silent = 0;      ///< No final answer though its entry lives.
+		int foreign = 0;     ///< A response had bytes of another call.
+		int cutClean = 0;    ///< A truncated response ended as if it were complete.
+		int falseNotRun = 0; ///< The caller was told that the call did not run, but it ran.
+		int doubled = 0;     ///< A call that is not repeatable ran more than once.
+		int silent = 0;      ///< No attempt got a final response.
 
 		bool operator==(const Violations&) const = default;
 		int total() const;
 	};
 
-	/// @param[in] _runs How often each token ran, from the stand-ins.
+	/// Counts the violations of a load.
+	/// @param[in] _runs Number of runs of each token, from the stand-ins.
 	Violations judge(const LoadResult& _result, const std::map<std::string, int>& _runs);
 
-	/// Figures of a load for people.
+	/// Summary of a load.
 	struct LoadFigures
 	{
 		std::uint32_t calls = 0;
@@ -101,10 +103,10 @@
 		std::uint32_t unknown = 0;
 		std::uint32_t broken = 0;
 		std::map<std::string, int> reasons;
-		double firstP50 = 0.0; ///< ms, of whole streamed answers; likewise below.
+		double firstP50 = 0.0; ///< Time to the first byte of complete streamed responses, ms; likewise below.
 		double firstP95 = 0.0;
 		double firstP99 = 0.0;
-		double totalP50 = 0.0; ///< ms, of all whole answers.
+		double totalP50 = 0.0; ///< Total time of all complete responses, ms.
 		double totalP99 = 0.0;
 	};
 
--- a/tools/load_check.cpp
+++ b/tools/load_check.cpp
@@ -80,7 +80,7 @@
 			}
 			if (call.whole && CallKind::Streamed == call.kind)
 			{
-				first.push_back(call.firstMs);
+				first.push_back(call.firstByteMs);
 			}
 		}
 		figures.firstP50 = quantile(first, 0.5);
--- a/tools/load_main.cpp
+++ b/tools/load_main.cpp
@@ -1,4 +1,4 @@
-/// archdyke-load: bounded open-loop load on running entries, and a report of it.
+/// archdyke-load: sends a bounded open-loop load to running entries and prints a report.
 #include <cxxopts.hpp>
 #include <iostream>
 #include <nlohmann/json.hpp>
@@ -46,8 +46,8 @@
 
 		int run(int _argc, char** _argv)
 		{
-			cxxopts::Options options("archdyke-load", "Sends a bounded load to running entries and checks every answer.");
-			options.add_options()("file", "The operators' file", cxxopts::value<std::string>())("entry", "Address of an entry; repeat for more", cxxopts::value<std::vector<std::string>>())("rate", "Requests a second", cxxopts::value<double>()->default_value("50"))("requests", "Requests in all", cxxopts::value<std::uint32_t>()->default_value("200"))("tokens", "Tokens of a model's answer", cxxopts::value<std::uint32_t>()->default_value("24"))("seed", "Seed of the mix", cxxopts::value<std::uint64_t>()->default_value("1"))("output", "text or json", cxxopts::value<std::string>()->default_value("text"))("h,help", "Print this help");
+			cxxopts::Options options("archdyke-load", "Sends a bounded load to running entries and checks every response.");
+			options.add_options()("file", "The operators' file", cxxopts::value<std::string>())("entry", "Address of an entry; may be repeated", cxxopts::value<std::vector<std::string>>())("rate", "Requests per second", cxxopts::value<double>()->default_value("50"))("requests", "Total number of requests", cxxopts::value<std::uint32_t>()->default_value("200"))("tokens", "Tokens of each model response", cxxopts::value<std::uint32_t>()->default_value("24"))("seed", "Seed of the random choice of calls", cxxopts::value<std::uint64_t>()->default_value("1"))("output", "text or json", cxxopts::value<std::string>()->default_value("text"))("h,help", "Print this help");
 			const cxxopts::ParseResult parsed = options.parse(_argc, _argv);
 			if (0 < parsed.count("help") || 0 == parsed.count("file") || 0 == parsed.count("entry"))
 			{
--- a/tools/platform_lab.cpp
+++ b/tools/platform_lab.cpp
@@ -10,7 +10,7 @@
 	namespace
 	{
 		constexpr int kOk = 200;
-		constexpr int kClientWaitS = 10;
+		constexpr int kReadTimeoutS = 10;
 
 		Json rowName(const std::string& _table, const std::string& _part, const std::string& _key)
 		{
@@ -27,7 +27,7 @@
 	{
 		const Address address = parseAddress(_address);
 		httplib::Client client(address.host, address.port);
-		client.set_read_timeout(kClientWaitS);
+		client.set_read_timeout(kReadTimeoutS);
 		return client;
 	}
 
@@ -92,11 +92,11 @@
 
 	void StoreStub::transact(const Json& _body)
 	{
-		// The operator and the upstreams are served also while the store turns daemons away.
+		// With this header the stand-in serves the operator and the upstreams even while it rejects daemons.
 		const httplib::Result result = clientOf(this->address).Post("/rows-tx", {{"X-Stub-Operator", "1"}}, _body.dump(), "application/json");
 		if (!result || kOk != result->status)
 		{
-			throw std::runtime_error("the store's stand-in didn't take a row; look at its log");
+			throw std::runtime_error("the stand-in of the store rejected a write; see its log");
 		}
 	}
 
@@ -111,7 +111,7 @@
 		const httplib::Result result = clientOf(this->control).Post("/links", Json{{"name", _name}, {"target", _target}}.dump(), "application/json");
 		if (!result || kOk != result->status)
 		{
-			throw std::runtime_error("the proxy didn't make the link " + _name + "; look at its log");
+			throw std::runtime_error("the proxy did not create the link " + _name + "; see its log");
 		}
 		return Json::parse(result->body)["address"];
 	}
--- a/tools/platform_lab.h
+++ b/tools/platform_lab.h
@@ -1,5 +1,5 @@
-/// The programs for the users' platform before stand-ins of it: store, upstreams, a group of engine
-/// ranks, gateways and sidecars, as processes of their own, with a proxy on each way.
+/// Building blocks for running the programs for the users' platform (gateways, sidecars) against
+/// stand-ins: store, upstreams, a group of engine ranks, and a fault proxy for the links between them.
 #pragma once
 
 #include <httplib.h>
@@ -13,33 +13,34 @@
 {
 	using Json = nlohmann::json;
 
-	/// @returns A stand-in or tool of the build, started with its options.
+	/// Starts a stand-in or tool of the build.
+	/// @param[in] _options Passed as JSON in its only argument.
 	std::unique_ptr<ChildProcess> startTool(const std::string& _name, const Json& _options, const std::string& _log);
 
-	/// @returns A client of "IP:port" that waits at most 10 s.
+	/// @returns A client for the address "IP:port" with a read timeout of 10 s.
 	httplib::Client clientOf(const std::string& _address);
 
-	/// @returns A route to the service "svc" as the platform's operators write it.
+	/// @returns A route to the service "svc" in the format of the platform's operators.
 	Json routeJson(const std::string& _prefix, const std::string& _kind);
 
 	/// @returns A configuration with routes /safe/, /once/, /stream/ (resumable) and /open/ (public),
 	/// and one organisation.
 	Json configurationJson(std::uint64_t _version, const std::vector<std::string>& _keys, const Json& _moreRoutes);
 
-	/// @returns A row of an upstream.
+	/// @returns The row of an upstream.
 	Json upstreamJson(const std::string& _service, const std::string& _address, const std::string& _state);
 
-	/// @returns The declared figures of the stand-in's group of ranks.
+	/// @returns The declared parameters of the engine that stub-ranks simulates.
 	Json rankEngineJson();
 
-	/// The store's stand-in, as its operator and the upstreams use it.
+	/// The stand-in of the store, written to as by the operator and the upstreams.
 	class StoreStub
 	{
 	public:
 		explicit StoreStub(const std::string& _log);
 
-		/// Writes one row, whatever its version.
-		/// @throws std::runtime_error When the store doesn't take it.
+		/// Writes one row without a check of its version.
+		/// @throws std::runtime_error When the store rejects the write.
 		void put(const std::string& _table, const std::string& _key, const Json& _value);
 		void putIn(const std::string& _table, const std::string& _part, const std::string& _key, const std::string& _value);
 		void remove(const std::string& _table, const std::string& _key);
@@ -59,7 +60,8 @@
 	public:
 		explicit ProxyStub(const std::string& _log);
 
-		/// @returns Address of a link to _target; a link of that name is made anew.
+		/// Creates a link to _target; replaces an existing link of that name.
+		/// @returns Address of the link.
 		std::string link(const std::string& _name, const std::string& _target);
 		void faults(const std::string& _link, Json _faults);
 
--- a/tools/soak.cpp
+++ b/tools/soak.cpp
@@ -13,10 +13,10 @@
 {
 	namespace
 	{
-		constexpr Millis kTickMs = 25;       ///< Between two looks at the schedule.
-		constexpr Millis kLookMs = 250;      ///< Between two looks at what gateways say of themselves.
-		constexpr Millis kReadyMs = 15'000;  ///< Until all is ready, at the start and once healed.
-		constexpr Millis kInForceMs = 2'000; ///< A configuration, at a gateway in touch.
+		constexpr Millis kTickMs = 25;             ///< Interval between checks of the schedule.
+		constexpr Millis kPollIntervalMs = 250;    ///< Interval between reads of the gateways' state.
+		constexpr Millis kReadyTimeoutMs = 15'000; ///< Until all parts are ready, at the start and after the faults.
+		constexpr Millis kInForceMs = 2'000;       ///< Until a gateway without faults must have a new configuration.
 
 		class Soak
 		{
@@ -25,18 +25,18 @@
 			SoakResult run();
 
 		private:
-			void lookAround();
+			void pollGateways();
 			void checkVersion(SoakPart& _gateway);
-			bool isCalm(const std::string& _gateway, Millis _from, Millis _until) const;
-			/// Waits until all gateways are ready and on the newest configuration.
-			bool settle();
+			bool isFaultFree(const std::string& _gateway, Millis _from, Millis _until) const;
+			/// Waits until all gateways are ready and have the newest configuration.
+			bool waitUntilSettled();
 			void readRuns();
 			void checkMaps();
 			void judge();
 
 			const ChaosOptions options;
 			SoakDeployment deployment;
-			Millis lookedAt = 0;
+			Millis lastPollAt = 0;
 			SoakResult result;
 		};
 
@@ -49,28 +49,28 @@
 		SoakResult Soak::run()
 		{
 			this->deployment.start();
-			if (!this->settle())
+			if (!this->waitUntilSettled())
 			{
 				throw std::runtime_error("the deployment did not get ready; logs in " + this->deployment.directory);
 			}
 			SoakCallers callers(this->deployment, this->options.seed, 0 < this->options.series);
 			SoakFaults faults(this->options, this->deployment);
-			while (!faults.areOver())
+			while (!faults.isFinished())
 			{
 				faults.step();
-				this->lookAround();
+				this->pollGateways();
 				pauseMs(kTickMs);
 			}
-			this->result.faults = faults.begun();
-			this->deployment.heal();
-			const bool settled = this->settle();
+			this->result.faults = faults.startedCounts();
+			this->deployment.recover();
+			const bool settled = this->waitUntilSettled();
 			this->deployment.record.calls = callers.stop();
 			this->readRuns();
 			this->judge();
 			this->checkMaps();
 			if (!settled)
 			{
-				this->result.violations.add("not_settled", "a gateway isn't ready or not on the newest configuration after all was healed");
+				this->result.violations.add("not_settled", "a gateway is not ready or does not have the newest configuration after all faults ended");
 			}
 			if (0 == this->result.violations.total())
 			{
@@ -83,15 +83,15 @@
 			return std::move(this->result);
 		}
 
-		void Soak::lookAround()
+		void Soak::pollGateways()
 		{
-			this->deployment.actAsPlatform();
+			this->deployment.emulatePlatform();
 			const Millis now = nowMs();
-			if (now - this->lookedAt < kLookMs)
+			if (now - this->lastPollAt < kPollIntervalMs)
 			{
 				return;
 			}
-			this->lookedAt = now;
+			this->lastPollAt = now;
 			for (SoakPart& gateway : this->deployment.gateways)
 			{
 				this->checkVersion(gateway);
@@ -100,7 +100,7 @@
 
 		void Soak::checkVersion(SoakPart& _gateway)
 		{
-			const Millis askedAt = nowMs();
+			const Millis polledAt = nowMs();
 			const Json dump = dumpOf(_gateway);
 			if (!dump.is_object())
 			{
@@ -114,28 +114,28 @@
 			_gateway.version = version;
 			const std::uint64_t newest = this->deployment.version;
 			const Millis configuredAt = this->deployment.configuredAt;
-			const bool due = askedAt > configuredAt + kInForceMs && version < newest;
-			if (due && this->isCalm(_gateway.name, configuredAt - this->deployment.bounds.contactMs, askedAt))
+			const bool isLate = polledAt > configuredAt + kInForceMs && version < newest;
+			if (isLate && this->isFaultFree(_gateway.name, configuredAt - this->deployment.bounds.contactMs, polledAt))
 			{
-				this->result.violations.add("configuration_late", fmt::format("{} has version {} of {}, {} ms after it was confirmed", _gateway.name, version, newest, askedAt - configuredAt));
+				this->result.violations.add("configuration_late", fmt::format("{} has version {} of {}, {} ms after it was confirmed", _gateway.name, version, newest, polledAt - configuredAt));
 			}
 		}
 
-		/// Whether nothing happened to a gateway or to the store. Trouble of the upstreams' links
-		/// excuses no late configuration.
-		bool Soak::isCalm(const std::string& _gateway, Millis _from, Millis _until) const
+		/// Whether no fault affected the gateway or the store. Faults of the upstreams' links do not excuse a
+		/// late configuration.
+		bool Soak::isFaultFree(const std::string& _gateway, Millis _from, Millis _until) const
 		{
-			const std::vector<SoakSpan>& spans = this->deployment.record.spans;
-			return std::none_of(spans.begin(), spans.end(), [&](const SoakSpan& _span) {
-				const bool its = _span.part == _gateway || "store" == _span.part;
-				return its && overlaps(_span, _from, _until);
+			const std::vector<FaultSpan>& spans = this->deployment.record.spans;
+			return std::none_of(spans.begin(), spans.end(), [&](const FaultSpan& _span) {
+				const bool isRelevant = _span.part == _gateway || "store" == _span.part;
+				return isRelevant && overlaps(_span, _from, _until);
 			});
 		}
 
-		bool Soak::settle()
+		bool Soak::waitUntilSettled()
 		{
-			return waitUntil(kReadyMs, [&] {
-				this->lookAround();
+			return waitUntil(kReadyTimeoutMs, [&] {
+				this->pollGateways();
 				const std::vector<SoakPart>& gateways = this->deployment.gateways;
 				return std::all_of(gateways.begin(), gateways.end(), [&](const SoakPart& _gateway) {
 					const Json dump = dumpOf(_gateway);
@@ -144,7 +144,7 @@
 			});
 		}
 
-		/// Reads from the upstreams' output which requests they began and which they turned away.
+		/// Reads from the output of the upstreams which requests they ran and which they rejected.
 		void Soak::readRuns()
 		{
 			for (const SoakWorker& worker : this->deployment.workers)
@@ -159,7 +159,7 @@
 					if (line.starts_with("turned_away "))
 					{
 						const std::string rest = fieldOf(line, "rest");
-						this->deployment.record.refusals.push_back({fieldOf(line, "request"), worker.id, std::stoll(fieldOf(line, "at")), rest.empty() ? 0 : Millis(1'000.0 * std::stod(rest))});
+						this->deployment.record.rejections.push_back({fieldOf(line, "request"), worker.id, std::stoll(fieldOf(line, "at")), rest.empty() ? 0 : Millis(1'000.0 * std::stod(rest))});
 					}
 				}
 			}
@@ -171,7 +171,7 @@
 			{
 				this->result.statuses[call.status] += 1;
 			}
-			const SoakViolations judged = judgeSoak(this->deployment.record, this->deployment.bounds);
+			const SoakViolations judged = findSoakViolations(this->deployment.record, this->deployment.bounds);
 			SoakViolations& all = this->result.violations;
 			all.lines.insert(all.lines.end(), judged.lines.begin(), judged.lines.end());
 			for (const auto& [kind, count] : judged.byKind)
@@ -180,7 +180,7 @@
 			}
 		}
 
-		/// Asks each group of ranks whether any pass ran on different maps.
+		/// Checks for each group of ranks that no pass ran with different maps.
 		void Soak::checkMaps()
 		{
 			for (const SoakGroup& group : this->deployment.groups)
--- a/tools/soak.h
+++ b/tools/soak.h
@@ -1,5 +1,5 @@
-/// A seeded run of the programs for the users' platform under load, where faults come in series,
-/// overlap and come twice. What callers got and what upstreams ran judges it.
+/// A seeded run of the programs for the users' platform under load, with faults that overlap, repeat
+/// and come in series. The responses to callers and the runs of upstreams are checked for violations.
 #pragma once
 
 #include <map>
@@ -11,16 +11,17 @@
 
 namespace archdyke::lab
 {
+	/// Kinds of requests.
 	enum class SoakKind
 	{
 		Safe,   ///< May run more than once.
 		Once,   ///< May run at most once.
-		Stream, ///< Twelve events; may be resumed.
-		Crash,  ///< Ends each upstream that begins to run it; may run more than once.
+		Stream, ///< A stream of twelve events; may be resumed.
+		Crash,  ///< Crashes each upstream that starts to run it; may run more than once.
 		Count
 	};
 
-	/// What one caller's request came to. Times are the machine's steady clock, ms.
+	/// Result of one caller's request. Times are on the machine's steady clock, ms.
 	struct SoakCall
 	{
 		std::string id;
@@ -29,31 +30,31 @@
 		std::string gateway;
 		Millis sentAt = 0;
 		Millis endedAt = 0;
-		int status = 0;     ///< 0: no whole answer.
-		bool whole = false; ///< The body is the one that an upstream gives this request.
+		int status = 0;     ///< HTTP status; 0: no complete response.
+		bool whole = false; ///< The body is the one that an upstream returns for this request.
 		std::string target; ///< Path and query.
 	};
 
-	/// That an upstream began a request.
+	/// An upstream started to run a request.
 	struct SoakRun
 	{
 		std::string request;
 		std::string upstream; ///< Incarnation.
 		Millis at = 0;
-		bool saidLeaving = false; ///< Its answer says that the upstream leaves.
+		bool saidLeaving = false; ///< The response says that the upstream is leaving.
 	};
 
-	/// That an upstream turned a request away.
-	struct SoakRefusal
+	/// An upstream rejected a request.
+	struct SoakRejection
 	{
 		std::string request;
 		std::string upstream; ///< Incarnation.
 		Millis at = 0;
-		Millis askedMs = 0; ///< For so long it wants nothing from the gateway; 0: it didn't say.
+		Millis backOffMs = 0; ///< Requested back-off of the gateway; 0: none.
 	};
 
-	/// Something that happened to a part of the deployment.
-	struct SoakSpan
+	/// The time in which a fault affected a part of the deployment.
+	struct FaultSpan
 	{
 		std::string part; ///< Name of a gateway, upstream or rank; "store"; "links".
 		FaultKind kind = FaultKind::Count;
@@ -61,33 +62,33 @@
 		Millis until = 0;
 	};
 
-	/// @returns Whether it was so at any time from _from to _until.
-	bool overlaps(const SoakSpan& _span, Millis _from, Millis _until);
+	/// @returns Whether the fault was active at any time from _from to _until.
+	bool overlaps(const FaultSpan& _span, Millis _from, Millis _until);
 
-	/// All that is known of a run when it is over.
+	/// Everything recorded in a run.
 	struct SoakRecord
 	{
 		std::vector<SoakCall> calls;
 		std::vector<SoakRun> runs;
-		std::vector<SoakRefusal> refusals;
-		std::vector<SoakSpan> spans;
-		std::map<std::string, Millis> withdrawnAt; ///< By key: when the store confirmed it.
-		std::map<std::string, Millis> leavingAt;   ///< By upstream: the same.
-		std::set<std::string> heldKeys;            ///< Held by any configuration.
+		std::vector<SoakRejection> rejections;
+		std::vector<FaultSpan> spans;
+		std::map<std::string, Millis> revokedAt; ///< By key: when the store confirmed the revocation.
+		std::map<std::string, Millis> leavingAt; ///< By upstream: when the store confirmed its draining state.
+		std::set<std::string> knownKeys;         ///< Keys of any configuration so far.
 	};
 
-	/// The bounds that a run is judged by, ms.
+	/// Time limits of the checks, ms.
 	struct SoakBounds
 	{
-		Millis revocationMs = 4'000; ///< A withdrawn key works no longer.
-		Millis drainMs = 2'000;      ///< An upstream that leaves gets no new work.
-		Millis contactMs = 3'000;    ///< After trouble this long, a gateway is bound again.
-		Millis graceMs = 8'000;      ///< From the stop signal to the kill.
-		Millis backOffSlackMs = 500; ///< What is under way when an upstream asks for nothing may still come.
-		Millis lossSlackMs = 200;    ///< A request that was cut sooner may not have been read.
+		Millis revocationMs = 4'000; ///< Until a revoked key is rejected.
+		Millis drainMs = 2'000;      ///< Until a leaving upstream gets no new requests.
+		Millis contactMs = 3'000;    ///< After a fault, the time limits apply to a gateway again after this time.
+		Millis graceMs = 8'000;      ///< Time between the stop signal and the kill.
+		Millis backOffSlackMs = 500; ///< Requests in flight when an upstream asks for back-off may still arrive.
+		Millis lossSlackMs = 200;    ///< A request that was cut off sooner may not have been read by the gateway.
 	};
 
-	/// Promises that were broken, each with a line that says where.
+	/// Violated guarantees, each with a line of details.
 	struct SoakViolations
 	{
 		std::vector<std::string> lines;
@@ -97,16 +98,16 @@
 		int total() const;
 	};
 
-	/// Judges a run by what callers and upstreams saw.
-	SoakViolations judgeSoak(const SoakRecord& _record, const SoakBounds& _bounds);
+	/// Checks the records of callers and upstreams for violations.
+	SoakViolations findSoakViolations(const SoakRecord& _record, const SoakBounds& _bounds);
 
 	struct SoakResult
 	{
-		std::map<std::string, int> faults; ///< By kind.
-		std::map<int, int> statuses;       ///< Calls by status.
+		std::map<std::string, int> faults; ///< Number of faults by kind.
+		std::map<int, int> statuses;       ///< Number of calls by status.
 		SoakViolations violations;
 	};
 
-	/// Runs one seed. The logs stay in a directory of their own if anything was violated.
+	/// Runs one seed. Keeps the directory of logs if there were violations.
 	SoakResult runSoak(const ChaosOptions& _options);
 } // namespace archdyke::lab
--- a/tools/soak_callers.cpp
+++ b/tools/soak_callers.cpp
@@ -6,21 +6,23 @@
 {
 	namespace
 	{
-		constexpr std::size_t kCallers = 8;
-		/// Kinds that a caller draws from.
-		constexpr std::uint64_t kUsualKinds = std::uint64_t(SoakKind::Crash);
-		/// How often a request that crashes upstreams comes again, and the least and most time between, ms.
-		constexpr std::uint64_t kRepeatsOfCrash = 10;
-		constexpr Millis kLeastCrashPauseMs = 200;
-		constexpr std::uint64_t kMoreCrashPauseMs = 700;
-		constexpr int kEvents = 12; ///< Of a stream of the stand-in.
-		/// Then a caller goes to another gateway; every other one keeps its connection until it breaks.
-		constexpr int kCallsOfAConnection = 25;
-		constexpr Millis kPatienceMs = 1'500; ///< Deadline of a request.
-		constexpr Millis kReadSlackMs = 500;  ///< A caller waits so much longer than its deadline.
+		constexpr std::size_t kCallerThreads = 8;
+		/// Number of kinds that a caller chooses from: all but crashing requests.
+		constexpr std::uint64_t kRegularKinds = std::uint64_t(SoakKind::Crash);
+		/// How often a request that crashes upstreams is sent. The pause between two is kMinCrashPauseMs plus a random
+		/// time below kCrashPauseRangeMs.
+		constexpr std::uint64_t kCrashRepeats = 10;
+		constexpr Millis kMinCrashPauseMs = 200;
+		constexpr std::uint64_t kCrashPauseRangeMs = 700;
+		constexpr int kStreamEvents = 12; ///< Events of a stream of the stand-in.
+		/// Requests after which a caller connects to another gateway. Callers with odd indexes keep their connection
+		/// until it breaks.
+		constexpr int kCallsPerConnection = 25;
+		constexpr Millis kDeadlineMs = 1'500;   ///< Deadline of a request.
+		constexpr Millis kTimeoutSlackMs = 500; ///< Extra time that a caller waits after the deadline.
 		constexpr int kConnectWaitS = 1;
-		constexpr Millis kBrokenPauseMs = 25; ///< After a request without a whole answer.
-		constexpr Millis kMostPauseMs = 30;   ///< Between two requests, less than this.
+		constexpr Millis kBrokenPauseMs = 25; ///< Pause after a request without a complete response.
+		constexpr Millis kMaxPauseMs = 30;    ///< Upper bound of the random pause between two requests.
 
 		std::string pathOf(SoakKind _kind)
 		{
@@ -35,7 +37,7 @@
 			}
 		}
 
-		/// @returns The body that an upstream gives a request.
+		/// @returns The body that an upstream returns for a request.
 		std::string expectedBody(SoakKind _kind)
 		{
 			if (SoakKind::Stream != _kind)
@@ -43,7 +45,7 @@
 				return "GET " + pathOf(_kind) + " ";
 			}
 			std::string body;
-			for (int event = 1; event <= kEvents; ++event)
+			for (int event = 1; event <= kStreamEvents; ++event)
 			{
 				body += fmt::format("id: {}\ndata: piece {}\n\n", event, event);
 			}
@@ -55,16 +57,16 @@
 			httplib::Client client = clientOf(_address);
 			client.set_keep_alive(true);
 			client.set_connection_timeout(kConnectWaitS);
-			client.set_read_timeout(std::chrono::milliseconds(kPatienceMs + kReadSlackMs));
+			client.set_read_timeout(std::chrono::milliseconds(kDeadlineMs + kTimeoutSlackMs));
 			return client;
 		}
 
 		/// Sends a request.
-		/// @param[in] _call Its id, kind, key and gateway.
-		/// @returns The same with what it came to.
+		/// @param[in] _call Has the id, kind, key and gateway of the request.
+		/// @returns The call with its result.
 		SoakCall send(httplib::Client& _client, SoakCall _call)
 		{
-			const httplib::Headers headers{{"Host", "office.example"}, {"X-Archdyke-Request-Id", _call.id}, {"X-Archdyke-Deadline-Ms", std::to_string(kPatienceMs)}, {"X-Api-Key", _call.key}};
+			const httplib::Headers headers{{"Host", "office.example"}, {"X-Archdyke-Request-Id", _call.id}, {"X-Archdyke-Deadline-Ms", std::to_string(kDeadlineMs)}, {"X-Api-Key", _call.key}};
 			_call.target = SoakKind::Crash == _call.kind ? _call.target : pathOf(_call.kind);
 			_call.sentAt = nowMs();
 			const httplib::Result got = _client.Get(_call.target, headers);
@@ -82,25 +84,25 @@
 		if (_crashes)
 		{
 			this->threads.emplace_back([this] {
-				this->crash();
+				this->runCrashCaller();
 			});
 		}
-		for (std::size_t index = 0; index < kCallers; ++index)
+		for (std::size_t index = 0; index < kCallerThreads; ++index)
 		{
 			this->threads.emplace_back([this, index] {
-				this->call(index);
+				this->runCaller(index);
 			});
 		}
 	}
 
 	SoakCallers::~SoakCallers()
 	{
-		this->join(); // a run that fails at something else ends with its reason
+		this->join(); // joinable threads would terminate the process and hide the exception that ends the run
 	}
 
 	void SoakCallers::join()
 	{
-		this->over = true;
+		this->isStopping = true;
 		for (std::thread& thread : this->threads)
 		{
 			thread.join();
@@ -115,48 +117,48 @@
 		return std::move(this->calls);
 	}
 
-	void SoakCallers::call(std::size_t _index)
+	void SoakCallers::runCaller(std::size_t _index)
 	{
-		constexpr std::uint64_t kSeedsApart = 1'000; // more than there are callers
-		Random random(this->seed * kSeedsApart + _index);
+		constexpr std::uint64_t kSeedStride = 1'000; // more than the number of callers
+		Random random(this->seed * kSeedStride + _index);
 		std::uint64_t made = 0;
-		while (!this->over)
+		while (!this->isStopping)
 		{
-			const SoakDoor door = this->deployment.door(random);
-			httplib::Client client = connectionTo(door.address);
+			const SoakGatewayAddress gateway = this->deployment.pickGateway(random);
+			httplib::Client client = connectionTo(gateway.address);
 			bool broken = false;
-			const bool keeps = 0 != _index % 2;
-			for (int calls = 0; (keeps || calls < kCallsOfAConnection) && !broken && !this->over; ++calls)
+			const bool keepsConnection = 0 != _index % 2;
+			for (int calls = 0; (keepsConnection || calls < kCallsPerConnection) && !broken && !this->isStopping; ++calls)
 			{
 				SoakCall call;
 				call.id = fmt::format("c{}-{}", _index, made++);
-				call.kind = SoakKind(randomBelow(random, kUsualKinds));
-				call.key = this->deployment.drawKey(random);
-				call.gateway = door.gateway;
+				call.kind = SoakKind(randomBelow(random, kRegularKinds));
+				call.key = this->deployment.pickKey(random);
+				call.gateway = gateway.name;
 				call = send(client, std::move(call));
 				broken = 0 == call.status;
 				this->add(std::move(call));
-				pauseMs(broken ? kBrokenPauseMs : Millis(randomBelow(random, kMostPauseMs)));
+				pauseMs(broken ? kBrokenPauseMs : Millis(randomBelow(random, kMaxPauseMs)));
 			}
 		}
 	}
 
-	void SoakCallers::crash()
+	void SoakCallers::runCrashCaller()
 	{
-		constexpr std::uint64_t kOtherSeeds = 7'000'003;
-		Random random(this->seed + kOtherSeeds);
-		for (std::uint64_t made = 0; !this->over; ++made)
+		constexpr std::uint64_t kSeedOffset = 7'000'003;
+		Random random(this->seed + kSeedOffset);
+		for (std::uint64_t made = 0; !this->isStopping; ++made)
 		{
-			const SoakDoor door = this->deployment.door(random);
-			httplib::Client client = connectionTo(door.address);
+			const SoakGatewayAddress gateway = this->deployment.pickGateway(random);
+			httplib::Client client = connectionTo(gateway.address);
 			SoakCall call;
 			call.id = fmt::format("x{}", made);
 			call.kind = SoakKind::Crash;
-			call.target = fmt::format("/safe/{}?do=crash", made / kRepeatsOfCrash);
-			call.key = SoakDeployment::steadyKey();
-			call.gateway = door.gateway;
+			call.target = fmt::format("/safe/{}?do=crash", made / kCrashRepeats);
+			call.key = SoakDeployment::permanentKey();
+			call.gateway = gateway.name;
 			this->add(send(client, std::move(call)));
-			pauseMs(kLeastCrashPauseMs + Millis(randomBelow(random, kMoreCrashPauseMs)));
+			pauseMs(kMinCrashPauseMs + Millis(randomBelow(random, kCrashPauseRangeMs)));
 		}
 	}
 
--- a/tools/soak_callers.h
+++ b/tools/soak_callers.h
@@ -1,4 +1,4 @@
-/// Callers of a soak: each sends one request after the other over connections to any gateway.
+/// Callers of a soak run. Each sends its requests one after the other to random gateways.
 #pragma once
 
 #include <thread>
@@ -10,29 +10,29 @@
 	class SoakCallers
 	{
 	public:
-		/// Starts them.
-		/// @param[in] _deployment Outlives the callers.
-		/// @param[in] _crashes One more sends requests that end upstreams, each again and again through all gateways.
+		/// Starts the callers.
+		/// @param[in] _deployment Must outlive the callers.
+		/// @param[in] _crashes Adds a caller of requests that crash upstreams, each repeated through random gateways.
 		SoakCallers(SoakDeployment& _deployment, std::uint64_t _seed, bool _crashes);
 		~SoakCallers();
 		SoakCallers(const SoakCallers&) = delete;
 		SoakCallers& operator=(const SoakCallers&) = delete;
 
-		/// Ends them.
-		/// @returns What all their requests came to.
+		/// Stops the callers.
+		/// @returns The results of all their requests.
 		std::vector<SoakCall> stop();
 
 	private:
-		void call(std::size_t _index);
-		void crash();
+		void runCaller(std::size_t _index);
+		void runCrashCaller();
 		void add(SoakCall _call);
 		void join();
 
 		SoakDeployment& deployment;
 		const std::uint64_t seed;
-		std::atomic<bool> over{false};
+		std::atomic<bool> isStopping{false};
 		absl::Mutex mutex;
-		std::vector<SoakCall> calls; ///< Under the mutex.
+		std::vector<SoakCall> calls; ///< Guarded by the mutex.
 		std::vector<std::thread> threads;
 	};
 } // namespace archdyke::lab
--- a/tools/soak_deployment.cpp
+++ b/tools/soak_deployment.cpp
@@ -13,23 +13,23 @@
 {
 	namespace
 	{
-		constexpr Millis kCrashSeenMs = 500;    ///< Between two looks at the least, with a margin.
-		constexpr Millis kCrashedRowMs = 1'500; ///< Until the row of an upstream that crashed lapses.
-		const SoakSize kUsualSize{3, 4, {4, 3}};
-		/// Some hundred processes: a machine plays other runs beside it.
+		constexpr Millis kMaxCrashDetectionMs = 500;  ///< Upper bound of the time between a crash and its detection, with a margin.
+		constexpr Millis kCrashedRowExpiryMs = 1'500; ///< Until the row of a crashed upstream expires.
+		const SoakSize kDefaultSize{3, 4, {4, 3}};
+		/// About a hundred processes, which leaves room for other runs on the machine.
 		const SoakSize kLargeSize{16, 40, {24, 12, 8}};
-		/// How long a gateway may take to say what it has, ms: a frozen one doesn't answer.
-		constexpr Millis kDumpWaitMs = 200;
+		/// Timeout of a state dump, ms. Short because a frozen gateway does not respond.
+		constexpr Millis kDumpTimeoutMs = 200;
 		constexpr Millis kMsPerS = 1'000;
-		constexpr const char* kSteadyKey = "key-steady";
-		constexpr const char* kNobodysKey = "key-of-nobody";
+		constexpr const char* kPermanentKey = "key-steady";
+		constexpr const char* kUnknownKey = "key-of-nobody";
 
 		std::string makeDirectory(std::uint64_t _seed)
 		{
 			std::string pattern = (std::filesystem::temp_directory_path() / fmt::format("archdyke-soak-{}-XXXXXX", _seed)).string();
 			if (nullptr == mkdtemp(pattern.data()))
 			{
-				throw std::runtime_error("no directory for the logs of a soak; make room for temporary files");
+				throw std::runtime_error("cannot create a directory for the logs of a soak run; check the free space for temporary files");
 			}
 			return pattern;
 		}
@@ -42,23 +42,23 @@
 
 	SoakDeployment::SoakDeployment(std::uint64_t _seed, bool _large)
 	    : directory(makeDirectory(_seed))
-	    , size(_large ? kLargeSize : kUsualSize)
+	    , size(_large ? kLargeSize : kDefaultSize)
 	    , store(this->directory + "/store.log")
 	    , proxy(this->directory + "/proxy.log")
 	{
-		this->record.heldKeys = {kSteadyKey};
+		this->record.knownKeys = {kPermanentKey};
 	}
 
-	/// Loopback addresses that no other run on this machine uses.
+	/// Derives loopback addresses from the process id, so that runs on the same machine don't share them.
 	std::string SoakDeployment::ipOf(std::size_t _sidecar) const
 	{
 		const int process = getpid();
 		return fmt::format("127.{}.{}.{}", 1 + process % 200, 1 + process / 200 % 200, 10 + _sidecar);
 	}
 
-	std::string SoakDeployment::changingKey() const
+	std::string SoakDeployment::rotatingKey() const
 	{
-		return keyName(this->keysMade);
+		return keyName(this->rotations);
 	}
 
 	void SoakDeployment::start()
@@ -123,7 +123,7 @@
 			}
 			rank -= group.engines.size();
 		}
-		throw std::out_of_range("a soak has no sidecar of that number");
+		throw std::out_of_range("the deployment has no sidecar with this index");
 	}
 
 	std::unique_ptr<ChildProcess> SoakDeployment::startDaemon(SoakPart& _part, const std::string& _program, Json _settings)
@@ -171,19 +171,19 @@
 	void SoakDeployment::configure()
 	{
 		this->version += 1;
-		Json configuration = configurationJson(this->version, {kSteadyKey, this->changingKey()}, Json::array({routeJson(fmt::format("/extra-{}/", this->version), "idempotent")}));
+		Json configuration = configurationJson(this->version, {kPermanentKey, this->rotatingKey()}, Json::array({routeJson(fmt::format("/extra-{}/", this->version), "idempotent")}));
 		configuration["services"].push_back({{"name", "maps"}, {"engine", rankEngineJson()}});
-		this->record.heldKeys.insert(this->changingKey());
+		this->record.knownKeys.insert(this->rotatingKey());
 		this->store.put("op", "config", configuration);
 		this->configuredAt = nowMs();
 	}
 
 	void SoakDeployment::revokeKey()
 	{
-		const std::string before = this->changingKey();
-		this->keysMade += 1;
+		const std::string before = this->rotatingKey();
+		this->rotations += 1;
 		this->configure();
-		this->record.withdrawnAt[before] = nowMs();
+		this->record.revokedAt[before] = nowMs();
 	}
 
 	std::size_t SoakDeployment::beginSpan(const std::string& _part, FaultKind _kind)
@@ -192,7 +192,7 @@
 		return this->record.spans.size() - 1;
 	}
 
-	void SoakDeployment::revive()
+	void SoakDeployment::restartExitedParts()
 	{
 		for (SoakPart& gateway : this->gateways)
 		{
@@ -210,20 +210,20 @@
 				this->startSidecar(rank);
 			}
 		}
-		while (this->livingWorkers() < this->size.workers)
+		while (this->activeWorkers() < this->size.workers)
 		{
 			this->addWorker();
 		}
 	}
 
-	std::size_t SoakDeployment::livingWorkers() const
+	std::size_t SoakDeployment::activeWorkers() const
 	{
 		return std::size_t(std::count_if(this->workers.begin(), this->workers.end(), [](const SoakWorker& _worker) {
-			return !_worker.leaves && 0 == _worker.removeAt;
+			return !_worker.isLeaving && 0 == _worker.removeAt;
 		}));
 	}
 
-	void SoakDeployment::actAsPlatform()
+	void SoakDeployment::emulatePlatform()
 	{
 		for (SoakWorker& worker : this->workers)
 		{
@@ -234,28 +234,28 @@
 			}
 			else if (0 == worker.removeAt && !worker.process->running())
 			{
-				// It ended by itself, at some time since the last look.
+				// It exited by itself, at an unknown time since the last check.
 				const std::size_t span = this->beginSpan(worker.id, FaultKind::KillWorker);
 				this->record.spans[span].until = nowMs();
-				this->record.spans[span].from -= kCrashSeenMs;
-				worker.removeAt = nowMs() + kCrashedRowMs;
+				this->record.spans[span].from -= kMaxCrashDetectionMs;
+				worker.removeAt = nowMs() + kCrashedRowExpiryMs;
 			}
 		}
-		while (this->livingWorkers() + 1 < this->size.workers)
+		while (this->activeWorkers() + 1 < this->size.workers)
 		{
-			this->addWorker(); // one may be gone until a fault is over
+			this->addWorker(); // one may be missing until its fault ends
 		}
 		for (SoakPart& gateway : this->gateways)
 		{
 			const bool stopsLate = 0 != gateway.stoppedAt && nowMs() > gateway.stoppedAt + this->bounds.graceMs;
 			if (stopsLate && gateway.process->running())
 			{
-				gateway.process->kill(); // it may have been frozen meanwhile
+				gateway.process->kill(); // it may have been frozen in the meantime
 			}
 		}
 	}
 
-	void SoakDeployment::heal()
+	void SoakDeployment::recover()
 	{
 		this->store.control({{"mode", "up"}, {"delayMs", 0}});
 		for (auto* parts : {&this->gateways, &this->sidecars})
@@ -273,52 +273,52 @@
 				gateway.process->kill();
 			}
 		}
-		this->revive();
+		this->restartExitedParts();
 	}
 
-	void SoakDeployment::controlRanks(const Json& _order)
+	void SoakDeployment::controlRanks(const Json& _control)
 	{
 		for (std::size_t group = 0; group < this->groups.size(); ++group)
 		{
-			this->controlGroup(group, _order);
+			this->controlGroup(group, _control);
 		}
 	}
 
-	void SoakDeployment::controlGroup(std::size_t _group, const Json& _order)
+	void SoakDeployment::controlGroup(std::size_t _group, const Json& _control)
 	{
-		clientOf(this->groups[_group].engines.front()).Post("/control", _order.dump(), "application/json");
+		clientOf(this->groups[_group].engines.front()).Post("/control", _control.dump(), "application/json");
 	}
 
-	SoakDoor SoakDeployment::door(Random& _random)
+	SoakGatewayAddress SoakDeployment::pickGateway(Random& _random)
 	{
 		absl::MutexLock lock(&this->mutex);
 		const SoakPart& gateway = this->gateways[randomBelow(_random, this->gateways.size())];
 		return {gateway.name, gateway.callers};
 	}
 
-	std::string SoakDeployment::steadyKey()
+	std::string SoakDeployment::permanentKey()
 	{
-		return kSteadyKey;
+		return kPermanentKey;
 	}
 
-	std::string SoakDeployment::drawKey(Random& _random) const
+	std::string SoakDeployment::pickKey(Random& _random) const
 	{
-		constexpr std::uint64_t kOneIn = 20;
-		const std::uint64_t draw = randomBelow(_random, kOneIn);
-		if (0 == draw)
+		constexpr std::uint64_t kKeyChoices = 20;
+		const std::uint64_t pick = randomBelow(_random, kKeyChoices);
+		if (0 == pick)
 		{
-			return kNobodysKey;
+			return kUnknownKey;
 		}
-		const std::uint64_t made = this->keysMade;
-		// The changing key, and the one before it, which is withdrawn.
-		return draw < kOneIn / 2 ? kSteadyKey : keyName(made - std::min<std::uint64_t>(made, draw % 2));
+		const std::uint64_t made = this->rotations;
+		// Chooses the rotating key or its predecessor, which is revoked.
+		return pick < kKeyChoices / 2 ? kPermanentKey : keyName(made - std::min<std::uint64_t>(made, pick % 2));
 	}
 
 	Json dumpOf(const SoakPart& _gateway)
 	{
 		httplib::Client client = clientOf(_gateway.metrics);
-		client.set_read_timeout(std::chrono::milliseconds(kDumpWaitMs));
-		client.set_connection_timeout(std::chrono::milliseconds(kDumpWaitMs));
+		client.set_read_timeout(std::chrono::milliseconds(kDumpTimeoutMs));
+		client.set_connection_timeout(std::chrono::milliseconds(kDumpTimeoutMs));
 		const httplib::Result result = client.Get("/dump");
 		return result ? Json::parse(result->body, nullptr, false) : Json();
 	}
--- a/tools/soak_deployment.h
+++ b/tools/soak_deployment.h
@@ -1,5 +1,5 @@
-/// The deployment that a soak strikes: store, upstreams, groups of engine ranks, sidecars and
-/// gateways as processes of their own, and what an operator and the platform do to them.
+/// The deployment of a soak run: store, upstreams, groups of engine ranks, sidecars and gateways as
+/// separate processes, and the actions of the operator and of the platform.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -11,30 +11,30 @@
 
 namespace archdyke::lab
 {
-	/// A gateway or sidecar, which is started again when it has ended.
+	/// A gateway or a sidecar. It is restarted after it has exited.
 	struct SoakPart
 	{
 		std::string name;
 		std::unique_ptr<ChildProcess> process;
-		std::string callers;       ///< Of a gateway: IP:port of the link for callers.
-		std::string metrics;       ///< Of a gateway: IP:port.
-		Millis stoppedAt = 0;      ///< When it got the stop signal; 0: it didn't.
-		std::uint64_t version = 0; ///< Of the configuration that a gateway last said it has.
-		int starts = 0;            ///< How often it was started.
+		std::string callers;       ///< Gateways only: IP:port of the link for callers.
+		std::string metrics;       ///< Gateways only: IP:port of the metrics.
+		Millis stoppedAt = 0;      ///< Time of the stop signal; 0: none.
+		std::uint64_t version = 0; ///< Gateways only: last reported version of the configuration.
+		int starts = 0;            ///< Number of starts.
 	};
 
-	/// A plain upstream, in place of which another one comes when it goes.
+	/// A plain upstream. It is replaced by a new one when it exits or leaves.
 	struct SoakWorker
 	{
 		std::string id;
 		std::string link;
-		std::string address; ///< Of its link.
+		std::string address; ///< Address of its link.
 		std::unique_ptr<ChildProcess> process;
-		Millis removeAt = 0; ///< When its row lapses; 0: it stays.
-		bool leaves = false;
+		Millis removeAt = 0; ///< Time at which its row expires; 0: it does not.
+		bool isLeaving = false;
 	};
 
-	/// A group of engine ranks; one process plays all of them.
+	/// A group of engine ranks, all simulated by one process.
 	struct SoakGroup
 	{
 		std::string name;
@@ -42,82 +42,83 @@
 		std::vector<std::string> engines; ///< IP:port of each rank.
 	};
 
-	/// How many of each a deployment has.
+	/// Size of a deployment.
 	struct SoakSize
 	{
 		std::size_t gateways = 0;
 		std::size_t workers = 0;
-		std::vector<std::size_t> groups; ///< Ranks of each.
+		std::vector<std::size_t> groups; ///< Number of ranks of each group.
 	};
 
-	/// A gateway as a caller knows it.
-	struct SoakDoor
+	/// Name and address of a gateway.
+	struct SoakGatewayAddress
 	{
-		std::string gateway; ///< Its name.
+		std::string name;
 		std::string address; ///< IP:port.
 	};
 
-	/// All but door() and drawKey() is for one thread.
+	/// Only pickGateway() and pickKey() are thread-safe.
 	class SoakDeployment
 	{
 	public:
-		/// @param[in] _large As many processes as a machine bears beside others.
+		/// @param[in] _large Starts about a hundred processes: as many as fit on a machine beside other runs.
 		SoakDeployment(std::uint64_t _seed, bool _large);
 
-		/// Starts all parts, without waiting until they are ready.
+		/// Starts all parts and does not wait until they are ready.
 		void start();
 
-		/// Writes a newer configuration with the keys that are held now.
+		/// Writes a configuration with the next version and the current keys.
 		void configure();
 
-		/// Replaces the changing key by another one.
+		/// Revokes the rotating key and adds its successor.
 		void revokeKey();
 
-		/// Notes that something begins to happen to a part.
+		/// Records that a fault starts to affect a part.
 		/// @returns Index of the span in the record.
 		std::size_t beginSpan(const std::string& _part, FaultKind _kind);
 
-		/// Starts again what has ended; a stopped gateway ends by itself.
-		void revive();
+		/// Restarts the gateways and sidecars that have exited and replaces lost upstreams. Does not wait for a gateway
+		/// that is still stopping.
+		void restartExitedParts();
 
-		/// Does what the platform does by itself: removes rows that lapse, and kills gateways that
-		/// were told to stop and didn't in time.
-		void actAsPlatform();
+		/// Emulates the platform: removes expired rows, replaces lost upstreams, and kills gateways that did not stop
+		/// in time.
+		void emulatePlatform();
 
-		/// Ends all faults that last, and starts again what has ended.
-		void heal();
+		/// Ends the faults that are still active and restarts what has exited.
+		void recover();
 
-		/// Sends an order to all groups of ranks.
-		void controlRanks(const Json& _order);
+		/// Sends a control message to all groups of ranks.
+		void controlRanks(const Json& _control);
 
-		/// Sends an order to one of them.
-		void controlGroup(std::size_t _group, const Json& _order);
+		/// Sends a control message to one group of ranks.
+		void controlGroup(std::size_t _group, const Json& _control);
 
-		/// @returns A gateway to call. For any thread.
-		SoakDoor door(Random& _random);
+		/// @returns A random gateway. Thread-safe.
+		SoakGatewayAddress pickGateway(Random& _random);
 
-		/// @returns A key that is held throughout.
-		static std::string steadyKey();
+		/// @returns The key that is valid throughout the run.
+		static std::string permanentKey();
 
-		/// @returns Mostly a key that is held, else one that was withdrawn or nobody's. For any thread.
-		std::string drawKey(Random& _random) const;
+		/// @returns A random key: valid (the most frequent case), revoked or unknown. Thread-safe.
+		std::string pickKey(Random& _random) const;
 
-		const std::string directory; ///< Of settings and logs.
+		const std::string directory; ///< Directory of settings and logs.
 		const SoakBounds bounds;
 		const SoakSize size;
 		StoreStub store;
 		ProxyStub proxy;
-		std::vector<SoakGroup> groups;   ///< Of unlike sizes.
-		std::vector<SoakPart> sidecars;  ///< One for each rank of all groups, in their order.
-		std::vector<SoakWorker> workers; ///< Those that are gone stay.
-		std::vector<SoakPart> gateways;  ///< What callers need is under the mutex.
-		std::uint64_t version = 0;       ///< Of the newest configuration.
-		Millis configuredAt = 0;         ///< When the store confirmed it.
+		std::vector<SoakGroup> groups;   ///< Groups of different sizes.
+		std::vector<SoakPart> sidecars;  ///< One for each rank, in the order of the groups and their ranks.
+		std::vector<SoakWorker> workers; ///< Includes those that have exited.
+		std::vector<SoakPart> gateways;  ///< The addresses for callers are guarded by the mutex.
+		std::uint64_t version = 0;       ///< Version of the newest configuration.
+		Millis configuredAt = 0;         ///< When the store confirmed the newest configuration.
 		SoakRecord record;
 
 	private:
 		std::string ipOf(std::size_t _sidecar) const;
-		std::string changingKey() const;
+		std::string rotatingKey() const;
 		void startRanks(const std::string& _group, std::size_t _ranks);
 		std::unique_ptr<ChildProcess> startDaemon(SoakPart& _part, const std::string& _program, Json _settings);
 		void startSidecar(std::size_t _sidecar);
@@ -125,12 +126,12 @@
 		const std::string& engineOf(std::size_t _sidecar) const;
 		void startGateway(SoakPart& _gateway);
 		void addWorker();
-		std::size_t livingWorkers() const;
+		std::size_t activeWorkers() const;
 
-		std::atomic<std::uint64_t> keysMade{0};
+		std::atomic<std::uint64_t> rotations{0};
 		absl::Mutex mutex;
 	};
 
-	/// @returns What a gateway says of itself; no object when it doesn't answer.
+	/// @returns The state dump of a gateway; no object when there is no response.
 	Json dumpOf(const SoakPart& _gateway);
 } // namespace archdyke::lab
--- a/tools/soak_faults.cpp
+++ b/tools/soak_faults.cpp
@@ -7,13 +7,13 @@
 {
 	namespace
 	{
-		constexpr Millis kRowLapsesMs = 1'500; ///< After a kill; three heartbeats of half a second.
-		constexpr Millis kDelayMs = 150;       ///< Of each piece on a delayed link.
-		constexpr Millis kSlowStoreMs = 250;   ///< Of each answer of a slow store.
-		constexpr double kLateShare = 0.35;    ///< Of orders that ranks carry out late.
-		constexpr Millis kOrderWaitMs = 200;   ///< A frozen stand-in takes no order.
+		constexpr Millis kKilledRowExpiryMs = 1'500; ///< Expiry of a killed upstream's row: three heartbeats of 0.5 s.
+		constexpr Millis kLinkDelayMs = 150;         ///< Delay of each chunk on a delayed link.
+		constexpr Millis kSlowStoreDelayMs = 250;    ///< Delay of each response of a slow store.
+		constexpr double kLateOrderShare = 0.35;     ///< Share of the orders that ranks carry out late.
+		constexpr Millis kControlTimeoutMs = 200;    ///< Short because a frozen stand-in does not respond.
 
-		std::size_t strikePart(SoakDeployment& _deployment, SoakPart& _part, FaultKind _kind)
+		std::size_t injectPartFault(SoakDeployment& _deployment, SoakPart& _part, FaultKind _kind)
 		{
 			const std::size_t span = _deployment.beginSpan(_part.name, _kind);
 			if (FaultKind::KillGateway == _kind || FaultKind::KillSidecar == _kind)
@@ -36,30 +36,30 @@
 			return span;
 		}
 
-		/// Tells an upstream's stand-in what to say of itself; one that was killed says nothing.
-		void controlWorker(const SoakWorker& _worker, const Json& _order)
+		/// Sends a control message to the stand-in of an upstream. Has no effect when the stand-in was killed.
+		void controlWorker(const SoakWorker& _worker, const Json& _control)
 		{
 			httplib::Client client = clientOf(_worker.process->listening("http"));
-			client.set_read_timeout(std::chrono::milliseconds(kOrderWaitMs));
-			client.Post("/control", _order.dump(), "application/json");
+			client.set_read_timeout(std::chrono::milliseconds(kControlTimeoutMs));
+			client.Post("/control", _control.dump(), "application/json");
 		}
 
-		/// Upstreams ask to be sent nothing: every second time all of them, as those of a service that is overloaded do.
+		/// Makes an upstream ask for back-off; with an even random value all upstreams, as in an overloaded service.
 		void askBackOff(SoakDeployment& _deployment, const SoakWorker& _worker, const PlannedFault& _fault)
 		{
-			const Json order{{"restS", double(_fault.lastMs) / 1'000.0}};
-			const bool all = 0 == _fault.dice % 2;
+			const Json control{{"restS", double(_fault.durationMs) / 1'000.0}};
+			const bool all = 0 == _fault.randomValue % 2;
 			for (const SoakWorker& worker : _deployment.workers)
 			{
-				const bool living = !worker.leaves && 0 == worker.removeAt;
-				if (worker.id == _worker.id || (all && living))
+				const bool isActive = !worker.isLeaving && 0 == worker.removeAt;
+				if (worker.id == _worker.id || (all && isActive))
 				{
-					controlWorker(worker, order);
+					controlWorker(worker, control);
 				}
 			}
 		}
 
-		std::size_t strikeWorker(SoakDeployment& _deployment, SoakWorker& _worker, const PlannedFault& _fault)
+		std::size_t injectWorkerFault(SoakDeployment& _deployment, SoakWorker& _worker, const PlannedFault& _fault)
 		{
 			const FaultKind kind = _fault.kind;
 			const std::size_t span = _deployment.beginSpan(_worker.id, kind);
@@ -69,21 +69,21 @@
 			}
 			else if (FaultKind::SayLeaving == kind)
 			{
-				_worker.leaves = true; // another one comes for it
+				_worker.isLeaving = true; // a new upstream replaces it
 				controlWorker(_worker, {{"leaving", true}});
 			}
 			else if (FaultKind::KillWorker == kind)
 			{
 				_worker.process->kill();
-				_worker.removeAt = nowMs() + kRowLapsesMs;
+				_worker.removeAt = nowMs() + kKilledRowExpiryMs;
 			}
 			else if (FaultKind::FreezeWorker == kind)
 			{
 				_worker.process->signal(SIGSTOP);
 			}
-			else if (!_worker.leaves)
+			else if (!_worker.isLeaving)
 			{
-				_worker.leaves = true;
+				_worker.isLeaving = true;
 				_deployment.store.put("servers", _worker.id, upstreamJson("svc", _worker.address, "draining"));
 				_deployment.record.leavingAt[_worker.id] = nowMs();
 			}
@@ -98,21 +98,21 @@
 			}
 		}
 
-		/// @param[in] _cut Answers of the store don't reach the gateway.
+		/// @param[in] _cut Whether responses of the store are kept from reaching the gateway.
 		void cutStore(SoakDeployment& _deployment, const SoakPart& _gateway, bool _cut)
 		{
 			_deployment.proxy.faults("store<" + _gateway.name, {{"cutToClient", _cut}});
 		}
 
-		std::size_t strikeWayToStore(SoakDeployment& _deployment, const SoakPart& _gateway, FaultKind _kind)
+		std::size_t injectStoreLinkFault(SoakDeployment& _deployment, const SoakPart& _gateway, FaultKind _kind)
 		{
 			const std::size_t span = _deployment.beginSpan(_gateway.name, _kind);
 			cutStore(_deployment, _gateway, true);
 			return span;
 		}
 
-		/// @returns The order to the store's stand-in that begins a fault.
-		Json storeOrder(FaultKind _kind)
+		/// @returns The control message that starts a fault of the store.
+		Json storeControl(FaultKind _kind)
 		{
 			switch (_kind)
 			{
@@ -123,13 +123,13 @@
 			case FaultKind::StoreLose:
 				return {{"mode", "lose"}};
 			case FaultKind::StoreSlow:
-				return {{"delayMs", kSlowStoreMs}};
+				return {{"delayMs", kSlowStoreDelayMs}};
 			default:
 				return {{"forget", true}};
 			}
 		}
 
-		/// @returns The part that a fault without a target of its own is about.
+		/// @returns The part recorded for a fault that affects shared parts.
 		std::string sharedPart(FaultKind _kind)
 		{
 			switch (_kind)
@@ -139,7 +139,7 @@
 				return "links";
 			case FaultKind::RevokeKey:
 			case FaultKind::ChangeConfiguration:
-				return "-"; // the operator's work excuses nobody
+				return "-"; // changes by the operator excuse no violation
 			case FaultKind::LateOrders:
 			case FaultKind::FormAnew:
 				return "ranks";
@@ -148,15 +148,15 @@
 			}
 		}
 
-		/// Begins a fault of what all parts share; a group of ranks is the target of some.
-		/// @returns Index of its span, which begins before the first part is struck.
-		std::size_t strikeShared(SoakDeployment& _deployment, FaultKind _kind, std::size_t _target)
+		/// Starts a fault that affects shared parts; some affect one group of ranks.
+		/// @returns Index of its span, which starts before the first part is affected.
+		std::size_t injectSharedFault(SoakDeployment& _deployment, FaultKind _kind, std::size_t _target)
 		{
 			const std::size_t span = _deployment.beginSpan(sharedPart(_kind), _kind);
 			switch (_kind)
 			{
 			case FaultKind::DelayLinks:
-				faultWorkerLinks(_deployment, {{"delayMs", kDelayMs}});
+				faultWorkerLinks(_deployment, {{"delayMs", kLinkDelayMs}});
 				break;
 			case FaultKind::ResetWorkerLinks:
 				faultWorkerLinks(_deployment, {{"reset", true}});
@@ -168,18 +168,19 @@
 				_deployment.configure();
 				break;
 			case FaultKind::LateOrders:
-				_deployment.controlRanks({{"lateShare", kLateShare}});
+				_deployment.controlRanks({{"lateShare", kLateOrderShare}});
 				break;
 			case FaultKind::FormAnew:
 				_deployment.controlGroup(_target % _deployment.groups.size(), {{"formAnew", true}});
 				break;
 			default:
-				_deployment.store.control(storeOrder(_kind));
+				_deployment.store.control(storeControl(_kind));
 			}
 			return span;
 		}
 
-		/// @param[in,out] _target A draw; then the index of what was struck.
+		/// Starts a fault.
+		/// @param[in,out] _target A random value; then the index of the affected part.
 		/// @returns Index of its span.
 		std::size_t beginFault(SoakDeployment& _deployment, const PlannedFault& _fault, std::size_t& _target)
 		{
@@ -191,26 +192,26 @@
 			case FaultKind::StopGateway:
 			case FaultKind::HangUpGateway:
 				_target %= _deployment.gateways.size();
-				return strikePart(_deployment, _deployment.gateways[_target], kind);
+				return injectPartFault(_deployment, _deployment.gateways[_target], kind);
 			case FaultKind::KillSidecar:
 			case FaultKind::FreezeSidecar:
 				_target %= _deployment.sidecars.size();
-				return strikePart(_deployment, _deployment.sidecars[_target], kind);
+				return injectPartFault(_deployment, _deployment.sidecars[_target], kind);
 			case FaultKind::KillWorker:
 			case FaultKind::FreezeWorker:
 			case FaultKind::DrainWorker:
 				_target %= _deployment.workers.size();
-				return strikeWorker(_deployment, _deployment.workers[_target], _fault);
+				return injectWorkerFault(_deployment, _deployment.workers[_target], _fault);
 			case FaultKind::AskBackOff:
 			case FaultKind::SayLeaving:
-				// One that came lately: those before may have been killed.
+				// Chooses one of the most recent upstreams, as earlier ones may have been killed.
 				_target = _deployment.workers.size() - 1 - _target % std::min(_deployment.workers.size(), _deployment.size.workers);
-				return strikeWorker(_deployment, _deployment.workers[_target], _fault);
+				return injectWorkerFault(_deployment, _deployment.workers[_target], _fault);
 			case FaultKind::CutStoreOneWay:
 				_target %= _deployment.gateways.size();
-				return strikeWayToStore(_deployment, _deployment.gateways[_target], kind);
+				return injectStoreLinkFault(_deployment, _deployment.gateways[_target], kind);
 			default:
-				return strikeShared(_deployment, kind, _target);
+				return injectSharedFault(_deployment, kind, _target);
 			}
 		}
 
@@ -245,7 +246,7 @@
 			default:
 				break;
 			}
-			_deployment.revive();
+			_deployment.restartExitedParts();
 		}
 	} // namespace
 
@@ -264,7 +265,7 @@
 	void SoakFaults::begin(const PlannedFault& _fault)
 	{
 		this->counts[std::string(toString(_fault.kind))] += 1;
-		ActiveFault item{_fault, std::size_t(_fault.dice), 0};
+		ActiveFault item{_fault, std::size_t(_fault.randomValue), 0};
 		item.span = beginFault(this->deployment, _fault, item.target);
 		this->active.push_back(item);
 	}
@@ -279,7 +280,7 @@
 		}
 		for (auto it = this->active.begin(); this->active.end() != it;)
 		{
-			const bool ended = it->fault.startMs + it->fault.lastMs <= since;
+			const bool ended = it->fault.startMs + it->fault.durationMs <= since;
 			if (ended)
 			{
 				endFault(this->deployment, it->fault.kind, it->target);
@@ -289,12 +290,12 @@
 		}
 	}
 
-	bool SoakFaults::areOver() const
+	bool SoakFaults::isFinished() const
 	{
 		return this->plan.empty() && this->active.empty();
 	}
 
-	const std::map<std::string, int>& SoakFaults::begun() const
+	const std::map<std::string, int>& SoakFaults::startedCounts() const
 	{
 		return this->counts;
 	}
--- a/tools/soak_faults.h
+++ b/tools/soak_faults.h
@@ -1,36 +1,36 @@
-/// The faults of a soak: what each kind does to the deployment, and when.
+/// Injects the scheduled faults of a soak run into the deployment.
 #pragma once
 
 #include "soak_deployment.h"
 
 namespace archdyke::lab
 {
-	/// Plays the schedule of a seed, which begins with its construction.
+	/// Runs the fault schedule of a seed, which starts at construction.
 	class SoakFaults
 	{
 	public:
 		SoakFaults(const ChaosOptions& _options, SoakDeployment& _deployment);
 
-		/// Begins and ends what is due.
+		/// Starts and ends the faults that are due.
 		void step();
 
-		bool areOver() const;
+		bool isFinished() const;
 
-		/// @returns How many began, by kind.
-		const std::map<std::string, int>& begun() const;
+		/// @returns Number of started faults by kind.
+		const std::map<std::string, int>& startedCounts() const;
 
 	private:
 		struct ActiveFault
 		{
 			PlannedFault fault;
-			std::size_t target = 0; ///< Index of what was struck, among its kind.
-			std::size_t span = 0;   ///< Index in the record.
+			std::size_t target = 0; ///< Index of the affected part among the parts of its type.
+			std::size_t span = 0;   ///< Index of its span in the record.
 		};
 
 		void begin(const PlannedFault& _fault);
 
 		SoakDeployment& deployment;
-		std::vector<PlannedFault> plan; ///< Not begun yet.
+		std::vector<PlannedFault> plan; ///< Faults that have not started.
 		std::vector<ActiveFault> active;
 		std::map<std::string, int> counts;
 		const Millis begunAt;
--- a/tools/soak_judge.cpp
+++ b/tools/soak_judge.cpp
@@ -9,19 +9,19 @@
 	{
 		using Runs = std::map<std::string, std::vector<const SoakRun*>>;
 
-		bool promisesNotRun(int _status)
+		bool saysNotRun(int _status)
 		{
 			return 408 == _status || 421 == _status || 429 == _status || 503 == _status;
 		}
 
-		/// Whether a gateway is bound by what has a time bound: no trouble of its own, of its ways or
-		/// of the store for a while. What happens to sidecars excuses it of nothing.
-		bool isInTouch(const SoakRecord& _record, const std::string& _gateway, Millis _from, Millis _until)
+		/// Whether the time limits apply to a gateway: no fault affected it, its links or the store in the given time.
+		/// Faults of sidecars do not suspend the limits, and neither does SIGHUP.
+		bool timeLimitsApply(const SoakRecord& _record, const std::string& _gateway, Millis _from, Millis _until)
 		{
-			for (const SoakSpan& span : _record.spans)
+			for (const FaultSpan& span : _record.spans)
 			{
-				const bool its = (span.part == _gateway && FaultKind::HangUpGateway != span.kind) || "store" == span.part || "links" == span.part;
-				if (its && overlaps(span, _from, _until))
+				const bool isRelevant = (span.part == _gateway && FaultKind::HangUpGateway != span.kind) || "store" == span.part || "links" == span.part;
+				if (isRelevant && overlaps(span, _from, _until))
 				{
 					return false;
 				}
@@ -29,15 +29,15 @@
 			return true;
 		}
 
-		/// Whether only a planned stop of the gateway touched a request.
-		bool onlyStopped(const SoakRecord& _record, const SoakCall& _call, const SoakBounds& _bounds)
+		/// Whether planned stops of gateways are the only faults that may have affected a request.
+		bool hasOnlyPlannedStops(const SoakRecord& _record, const SoakCall& _call, const SoakBounds& _bounds)
 		{
-			for (const SoakSpan& span : _record.spans)
+			for (const FaultSpan& span : _record.spans)
 			{
-				const bool itsStop = FaultKind::StopGateway == span.kind && span.part == _call.gateway;
-				const bool othersStop = FaultKind::StopGateway == span.kind && span.part != _call.gateway;
+				const bool isOwnStop = FaultKind::StopGateway == span.kind && span.part == _call.gateway;
+				const bool isOtherStop = FaultKind::StopGateway == span.kind && span.part != _call.gateway;
 				const bool harmless = FaultKind::KillSidecar == span.kind || FaultKind::FreezeSidecar == span.kind || FaultKind::LateOrders == span.kind || FaultKind::FormAnew == span.kind || FaultKind::AskBackOff == span.kind || FaultKind::SayLeaving == span.kind || FaultKind::HangUpGateway == span.kind;
-				if (!itsStop && !othersStop && !harmless && overlaps(span, _call.sentAt - _bounds.contactMs, _call.endedAt))
+				if (!isOwnStop && !isOtherStop && !harmless && overlaps(span, _call.sentAt - _bounds.contactMs, _call.endedAt))
 				{
 					return false;
 				}
@@ -45,42 +45,42 @@
 			return true;
 		}
 
-		void judgeCall(const SoakRecord& _record, const SoakBounds& _bounds, const SoakCall& _call, const std::vector<const SoakRun*>& _runs, SoakViolations& _violations)
+		void checkCall(const SoakRecord& _record, const SoakBounds& _bounds, const SoakCall& _call, const std::vector<const SoakRun*>& _runs, SoakViolations& _violations)
 		{
-			const std::string where = fmt::format("request {} at {} sent at {}, ended at {} with {}, {} runs", _call.id, _call.gateway, _call.sentAt, _call.endedAt, _call.status, _runs.size());
+			const std::string details = fmt::format("request {} at {} sent at {}, ended at {} with {}, {} runs", _call.id, _call.gateway, _call.sentAt, _call.endedAt, _call.status, _runs.size());
 			if (200 == _call.status && !_call.whole)
 			{
-				_violations.add("answer_not_its_own", where);
+				_violations.add("answer_not_its_own", details);
 			}
 			if (SoakKind::Once == _call.kind && 1 < _runs.size())
 			{
-				_violations.add("ran_twice", where);
+				_violations.add("ran_twice", details);
 			}
-			if (SoakKind::Once == _call.kind && promisesNotRun(_call.status) && !_runs.empty())
+			if (SoakKind::Once == _call.kind && saysNotRun(_call.status) && !_runs.empty())
 			{
-				_violations.add("ran_though_told_not_run", where);
+				_violations.add("ran_though_told_not_run", details);
 			}
-			const auto withdrawn = _record.withdrawnAt.find(_call.key);
-			const bool late = _record.withdrawnAt.end() != withdrawn && _call.sentAt > withdrawn->second + _bounds.revocationMs;
-			if (!_runs.empty() && (late || !_record.heldKeys.contains(_call.key)))
+			const auto revoked = _record.revokedAt.find(_call.key);
+			const bool isRevoked = _record.revokedAt.end() != revoked && _call.sentAt > revoked->second + _bounds.revocationMs;
+			if (!_runs.empty() && (isRevoked || !_record.knownKeys.contains(_call.key)))
 			{
-				_violations.add("key_not_held", where + fmt::format(", key {}", _call.key));
+				_violations.add("key_not_held", details + fmt::format(", key {}", _call.key));
 			}
-			const bool passedOn = !_runs.empty() || _call.endedAt - _call.sentAt > _bounds.lossSlackMs;
-			if (0 == _call.status && passedOn && onlyStopped(_record, _call, _bounds))
+			const bool mayHaveBeenRead = !_runs.empty() || _call.endedAt - _call.sentAt > _bounds.lossSlackMs;
+			if (0 == _call.status && mayHaveBeenRead && hasOnlyPlannedStops(_record, _call, _bounds))
 			{
-				_violations.add("cut_by_a_planned_stop_or_nothing", where);
+				_violations.add("cut_by_a_planned_stop_or_nothing", details);
 			}
 		}
 
-		void judgeRun(const SoakRecord& _record, const SoakBounds& _bounds, const SoakCall& _call, const SoakRun& _run, SoakViolations& _violations)
+		void checkRun(const SoakRecord& _record, const SoakBounds& _bounds, const SoakCall& _call, const SoakRun& _run, SoakViolations& _violations)
 		{
 			const auto leaving = _record.leavingAt.find(_run.upstream);
 			if (_record.leavingAt.end() == leaving || _run.at <= leaving->second + _bounds.drainMs)
 			{
 				return;
 			}
-			if (isInTouch(_record, _call.gateway, _run.at - _bounds.drainMs - _bounds.contactMs, _run.at))
+			if (timeLimitsApply(_record, _call.gateway, _run.at - _bounds.drainMs - _bounds.contactMs, _run.at))
 			{
 				_violations.add("work_after_leaving", fmt::format("request {} by {} ran at {} of {}, which left at {}", _call.id, _call.gateway, _run.at, _run.upstream, leaving->second));
 			}
@@ -88,24 +88,24 @@
 
 		using CallsById = std::map<std::string, const SoakCall*>;
 
-		/// Whether a gateway was restarted or frozen, an upstream was frozen and read late what had come, or answers
-		/// were lost in resets.
-		bool isDisturbed(const SoakRecord& _record, const std::string& _gateway, const std::string& _upstream, Millis _from, Millis _until)
+		/// Whether a gateway was restarted or frozen, an upstream was frozen and so read its requests late, or responses
+		/// were lost because links were reset.
+		bool isAffected(const SoakRecord& _record, const std::string& _gateway, const std::string& _upstream, Millis _from, Millis _until)
 		{
-			return std::any_of(_record.spans.begin(), _record.spans.end(), [&](const SoakSpan& _span) {
+			return std::any_of(_record.spans.begin(), _record.spans.end(), [&](const FaultSpan& _span) {
 				const bool harmless = FaultKind::CutStoreOneWay == _span.kind || FaultKind::HangUpGateway == _span.kind;
-				const bool its = _span.part == _gateway && !harmless;
-				const bool upstreams = _span.part == _upstream && FaultKind::FreezeWorker == _span.kind;
-				const bool resets = FaultKind::ResetWorkerLinks == _span.kind;
-				return (its || upstreams || resets) && overlaps(_span, _from, _until);
+				const bool affectsGateway = _span.part == _gateway && !harmless;
+				const bool freezesUpstream = _span.part == _upstream && FaultKind::FreezeWorker == _span.kind;
+				const bool resetsLinks = FaultKind::ResetWorkerLinks == _span.kind;
+				return (affectsGateway || freezesUpstream || resetsLinks) && overlaps(_span, _from, _until);
 			});
 		}
 
-		/// What came to one upstream through one gateway: when, and when its caller had sent it.
+		/// Arrival of a request at an upstream through a gateway.
 		struct Arrival
 		{
 			Millis at = 0;
-			Millis sentAt = 0;
+			Millis sentAt = 0; ///< When its caller sent it.
 			std::string request;
 		};
 
@@ -126,67 +126,70 @@
 			{
 				add(run.request, run.upstream, run.at);
 			}
-			for (const SoakRefusal& refusal : _record.refusals)
+			for (const SoakRejection& rejection : _record.rejections)
 			{
-				add(refusal.request, refusal.upstream, refusal.at);
+				add(rejection.request, rejection.upstream, rejection.at);
 			}
 			return arrivals;
 		}
 
-		/// An upstream that asks a gateway for some time gets what is under way, and nothing more.
-		void judgeBackOffs(const SoakRecord& _record, const SoakBounds& _bounds, const CallsById& _calls, const Arrivals& _arrivals, SoakViolations& _violations)
+		/// Checks that an upstream that asks a gateway for back-off gets only requests that were already in flight.
+		void checkBackOffs(const SoakRecord& _record, const SoakBounds& _bounds, const CallsById& _calls, const Arrivals& _arrivals, SoakViolations& _violations)
 		{
-			for (const SoakRefusal& refusal : _record.refusals)
+			for (const SoakRejection& rejection : _record.rejections)
 			{
-				const auto call = _calls.find(refusal.request);
-				if (0 == refusal.askedMs || _calls.end() == call)
+				const auto call = _calls.find(rejection.request);
+				if (0 == rejection.backOffMs || _calls.end() == call)
 				{
 					continue;
 				}
 				const std::string& gateway = call->second->gateway;
-				const Millis until = refusal.at + refusal.askedMs;
-				const std::vector<Arrival>& arrivals = _arrivals.at({refusal.upstream, gateway});
-				const auto came = std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& _arrival) {
-					return refusal.at + _bounds.backOffSlackMs < _arrival.at && _arrival.at < until;
+				const Millis until = rejection.at + rejection.backOffMs;
+				const std::vector<Arrival>& arrivals = _arrivals.at({rejection.upstream, gateway});
+				const auto count = std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& _arrival) {
+					return rejection.at + _bounds.backOffSlackMs < _arrival.at && _arrival.at < until;
 				});
-				if (0 < came && !isDisturbed(_record, gateway, refusal.upstream, refusal.at, until))
+				if (0 < count && !isAffected(_record, gateway, rejection.upstream, rejection.at, until))
 				{
-					_violations.add("work_in_back_off", fmt::format("{} requests by {} came to {} from {} to {}", came, gateway, refusal.upstream, refusal.at, until));
+					_violations.add("work_in_back_off", fmt::format("{} requests by {} came to {} from {} to {}", count, gateway, rejection.upstream, rejection.at, until));
 				}
 			}
 		}
 
-		/// A gateway that has handed on an upstream's answer that it leaves sends it nothing that is sent later.
-		void judgeLeaves(const SoakRecord& _record, const SoakBounds& _bounds, const CallsById& _calls, const Arrivals& _arrivals, SoakViolations& _violations)
+		/// Checks that a gateway sends no new requests to an upstream after it has forwarded a response in which the
+		/// upstream says that it is leaving.
+		void checkLeaving(const SoakRecord& _record, const SoakBounds& _bounds, const CallsById& _calls, const Arrivals& _arrivals, SoakViolations& _violations)
 		{
-			std::map<std::pair<std::string, std::string>, Millis> toldAt;
+			std::map<std::pair<std::string, std::string>, Millis> reports;
 			for (const SoakRun& run : _record.runs)
 			{
 				const auto call = _calls.find(run.request);
 				if (run.saidLeaving && _calls.end() != call && 200 == call->second->status)
 				{
 					const Millis endedAt = call->second->endedAt;
-					Millis& told = toldAt.try_emplace({run.upstream, call->second->gateway}, endedAt).first->second;
-					told = std::min(told, endedAt);
+					Millis& reportedAt = reports.try_emplace({run.upstream, call->second->gateway}, endedAt).first->second;
+					reportedAt = std::min(reportedAt, endedAt);
 				}
 			}
-			for (const auto& [way, told] : toldAt)
+			for (const auto& [upstreamAndGateway, reportedAt] : reports)
 			{
-				for (const Arrival& arrival : _arrivals.at(way))
+				for (const Arrival& arrival : _arrivals.at(upstreamAndGateway))
 				{
-					if (told + _bounds.drainMs < arrival.sentAt && !isDisturbed(_record, way.second, "", told, arrival.at))
+					if (reportedAt + _bounds.drainMs < arrival.sentAt && !isAffected(_record, upstreamAndGateway.second, "", reportedAt, arrival.at))
 					{
-						_violations.add("work_after_self_report", fmt::format("request {} sent at {} by {} came at {} to {}, which had told it at {} that it leaves", arrival.request, arrival.sentAt, way.second, arrival.at, way.first, told));
+						_violations.add("work_after_self_report", fmt::format("request {} sent at {} by {} came at {} to {}, which had told it at {} that it leaves", arrival.request, arrival.sentAt, upstreamAndGateway.second, arrival.at, upstreamAndGateway.first, reportedAt));
 					}
 				}
 			}
 		}
-		/// A request under which three upstreams ended reaches others by gateways in touch no more than a few times.
-		void judgeCrashes(const SoakRecord& _record, const SoakBounds& _bounds, const CallsById& _calls, SoakViolations& _violations)
+
+		/// Checks that a request that has crashed three upstreams reaches at most three others through gateways to
+		/// which the time limits apply.
+		void checkCrashes(const SoakRecord& _record, const SoakBounds& _bounds, const CallsById& _calls, SoakViolations& _violations)
 		{
-			constexpr std::size_t kCrashes = 3;
-			constexpr int kFew = 3;
-			std::map<std::string, std::vector<Arrival>> runs; // by target; each ended its upstream
+			constexpr std::size_t kCrashThreshold = 3;
+			constexpr int kMaxFurtherRuns = 3;
+			std::map<std::string, std::vector<Arrival>> runs; // by target; each run crashed its upstream
 			for (const SoakRun& run : _record.runs)
 			{
 				const auto call = _calls.find(run.request);
@@ -200,23 +203,23 @@
 				std::sort(arrivals.begin(), arrivals.end(), [](const Arrival& _a, const Arrival& _b) {
 					return _a.at < _b.at;
 				});
-				if (arrivals.size() < kCrashes)
+				if (arrivals.size() < kCrashThreshold)
 				{
 					continue;
 				}
-				const Millis boundFrom = arrivals[kCrashes - 1].at + _bounds.contactMs;
-				const auto more = std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& _arrival) {
-					return boundFrom < _arrival.at && isInTouch(_record, _calls.at(_arrival.request)->gateway, _arrival.at - _bounds.contactMs, _arrival.at);
+				const Millis limitFrom = arrivals[kCrashThreshold - 1].at + _bounds.contactMs;
+				const auto further = std::count_if(arrivals.begin(), arrivals.end(), [&](const Arrival& _arrival) {
+					return limitFrom < _arrival.at && timeLimitsApply(_record, _calls.at(_arrival.request)->gateway, _arrival.at - _bounds.contactMs, _arrival.at);
 				});
-				if (kFew < more)
+				if (kMaxFurtherRuns < further)
 				{
-					_violations.add("work_after_crashes", fmt::format("{} reached {} more upstreams after {}", target, more, boundFrom));
+					_violations.add("work_after_crashes", fmt::format("{} reached {} more upstreams after {}", target, further, limitFrom));
 				}
 			}
 		}
 	} // namespace
 
-	bool overlaps(const SoakSpan& _span, Millis _from, Millis _until)
+	bool overlaps(const FaultSpan& _span, Millis _from, Millis _until)
 	{
 		return _span.from <= _until && _from <= _span.until;
 	}
@@ -232,7 +235,7 @@
 		return int(this->lines.size());
 	}
 
-	SoakViolations judgeSoak(const SoakRecord& _record, const SoakBounds& _bounds)
+	SoakViolations findSoakViolations(const SoakRecord& _record, const SoakBounds& _bounds)
 	{
 		SoakViolations violations;
 		Runs runs;
@@ -240,14 +243,14 @@
 		{
 			runs[run.request].push_back(&run);
 		}
-		std::set<std::string> sent;
+		std::set<std::string> sentIds;
 		for (const SoakCall& call : _record.calls)
 		{
-			sent.insert(call.id);
-			judgeCall(_record, _bounds, call, runs[call.id], violations);
+			sentIds.insert(call.id);
+			checkCall(_record, _bounds, call, runs[call.id], violations);
 			for (const SoakRun* run : runs[call.id])
 			{
-				judgeRun(_record, _bounds, call, *run, violations);
+				checkRun(_record, _bounds, call, *run, violations);
 			}
 		}
 		CallsById calls;
@@ -256,12 +259,12 @@
 			calls[call.id] = &call;
 		}
 		const Arrivals arrivals = arrivalsOf(_record, calls);
-		judgeBackOffs(_record, _bounds, calls, arrivals, violations);
-		judgeLeaves(_record, _bounds, calls, arrivals, violations);
-		judgeCrashes(_record, _bounds, calls, violations);
-		for (const auto& [request, ran] : runs)
+		checkBackOffs(_record, _bounds, calls, arrivals, violations);
+		checkLeaving(_record, _bounds, calls, arrivals, violations);
+		checkCrashes(_record, _bounds, calls, violations);
+		for (const auto& [request, itsRuns] : runs)
 		{
-			if (!ran.empty() && !sent.contains(request))
+			if (!itsRuns.empty() && !sentIds.contains(request))
 			{
 				violations.add("ran_unasked", "request " + request);
 			}
