--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -57,7 +57,7 @@
 	'const std::vector<std::string> missing = waitForZones(client, _options, stage);' 'const std::vector<std::string> missing;
 		(void)waitForZones;'
 mutant no-pause-guard "config_a_paused_entry_serves_nothing_old" src/base/pause_guard.cpp \
-	'return this->lookedAt == this->count;' 'return 0 != this->lookedAt;'
+	'return this->refreshedCount == this->pauseCount;' 'return 0 != this->refreshedCount;'
 mutant older-version-taken "acceptance_.*" src/decide/acceptance.cpp \
 	'return _head.version > _held.head.version;' 'return _head.version != _held.head.version;'
 mutant leaving-agent-takes-work "leaving_a_draining_agent_refuses_whatever_the_entries_know" src/decide/ledger.cpp \
@@ -65,7 +65,7 @@
 mutant list-takes-leaving-back "membership_.*|leaving_a_list_that_says_live_again_changes_nothing" src/decide/membership.cpp \
 	'&& _member.incarnation != _member.leavingIncarnation' ''
 mutant stop-at-once "stopping_agents_stop_without_cutting_anything" src/agent/agent_main.cpp \
-	'while (nowMs() < until && (nowMs() < farewell || 0 < this->unfinished()))' 'while (false && nowMs() < until && nowMs() < farewell)' \
+	'while (nowMs() < deadline && (nowMs() < noticeEnd || 0 < this->unfinishedRuns()))' 'while (false && nowMs() < deadline && nowMs() < noticeEnd)' \
 	'				this->runs->stop();
 ' '				std::_Exit(0);
 				this->runs->stop();
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -1,4 +1,4 @@
-/// archdyke-agent: stands before one upstream and is the only way to it.
+/// archdyke-agent: proxy in front of one upstream, which is reachable only through it.
 
 #include "agent/agent_runs.h"
 #include "agent/agent_server.h"
@@ -14,11 +14,11 @@
 {
 	namespace
 	{
-		constexpr Millis kSweepMs = 250;
-		/// How long a stopping agent waits for entries to hear that it leaves, ms.
-		constexpr Millis kFarewellMs = 2 * kHeartbeatMs;
+		constexpr Millis kSweepIntervalMs = 250;
+		/// How long a stopping agent keeps running so that entries learn from heartbeats that it is leaving, ms.
+		constexpr Millis kLeavingNoticeMs = 2 * kHeartbeatMs;
 
-		/// The parts of an agent, in the order in which they are made.
+		/// Owns the components of an agent, declared in the order of their construction.
 		class AgentProcess
 		{
 		public:
@@ -31,14 +31,14 @@
 				});
 				AgentServer* target = this->server.get();
 				const RunObserver observer{[target](const RunKey& _key, const VerdictEvent& _verdict) {
-					target->hearVerdict(_key, _verdict);
+					target->onVerdict(_key, _verdict);
 				                           },
 				                           [target](const RunKey& _key) {
-					target->hearAnswer(_key);
+					target->onResponseData(_key);
 				}};
 				this->runs = std::make_unique<AgentRuns>(
 				    this->incarnation, this->settings.upstream, this->metrics, [this, observer] {
-					    return makeUpstreamCall(this->settings.upstream, observer.answer);
+					    return makeUpstreamCall(this->settings.upstream, observer.onResponseData);
 				    },
 				    observer);
 				if (ServiceKind::Model == this->settings.upstream.kind)
@@ -65,18 +65,18 @@
 				logInfo("listening", {{"name", this->settings.name}, {"rpc", toString(this->listener->address())}, {"admin", toString(adminAddress)}, {"incarnation", toHex(this->incarnation)}});
 			}
 
-			/// Refuses new work, lets what runs end and its answers go out, then ends.
+			/// Refuses new runs, waits until all runs have ended and their responses are sent, then stops.
 			void stop()
 			{
 				this->leave("signal");
-				const Millis until = nowMs() + kMaxDeadlineMs;
-				const Millis farewell = nowMs() + kFarewellMs;
-				while (nowMs() < until && (nowMs() < farewell || 0 < this->unfinished()))
+				const Millis deadline = nowMs() + kMaxDeadlineMs;
+				const Millis noticeEnd = nowMs() + kLeavingNoticeMs;
+				while (nowMs() < deadline && (nowMs() < noticeEnd || 0 < this->unfinishedRuns()))
 				{
 					absl::MutexLock lock(&this->mutex);
 					this->mutex.AwaitWithTimeout(absl::Condition(&this->stopped), absl::Milliseconds(20));
 				}
-				logInfo("stopping", {{"unfinished", this->unfinished()}});
+				logInfo("stopping", {{"unfinished", this->unfinishedRuns()}});
 				{
 					absl::MutexLock lock(&this->mutex);
 					this->stopped = true;
@@ -106,7 +106,7 @@
 				this->runs->leave();
 			}
 
-			std::size_t unfinished()
+			std::size_t unfinishedRuns()
 			{
 				std::size_t undelivered = 0;
 				this->loop.run([&] {
@@ -117,22 +117,22 @@
 
 			void sweepLoop()
 			{
-				bool up = true;
+				bool wasReachable = true;
 				while (true)
 				{
 					{
 						absl::MutexLock lock(&this->mutex);
-						if (this->mutex.AwaitWithTimeout(absl::Condition(&this->stopped), absl::Milliseconds(kSweepMs)))
+						if (this->mutex.AwaitWithTimeout(absl::Condition(&this->stopped), absl::Milliseconds(kSweepIntervalMs)))
 						{
 							return;
 						}
 					}
-					const bool isUp = probeUpstream(this->settings.upstream);
-					if (isUp != up)
+					const bool isReachable = probeUpstream(this->settings.upstream);
+					if (isReachable != wasReachable)
 					{
-						logWarning(isUp ? "upstream_up" : "upstream_down", {{"address", this->settings.upstream.address}});
-						this->runs->hearUpstream(isUp);
-						up = isUp;
+						logWarning(isReachable ? "upstream_up" : "upstream_down", {{"address", this->settings.upstream.address}});
+						this->runs->setUpstreamReachable(isReachable);
+						wasReachable = isReachable;
 					}
 					this->runs->sweep();
 					this->loop.post([this] {
@@ -144,7 +144,7 @@
 			nlohmann::json dump()
 			{
 				const LoadReport load = this->runs->load();
-				return {{"name", this->settings.name}, {"role", "agent"}, {"zone", this->settings.zone}, {"version", kVersion}, {"incarnation", toHex(this->incarnation)}, {"upstream", this->settings.upstream.address}, {"leaving", load.leaving}, {"running", load.running}, {"queued", load.queued}, {"slots", load.slots}, {"meanRunMs", load.meanRunMs}, {"unfinished", this->unfinished()}, {"map", nullptr == this->rank ? "none" : this->rank->describe()}};
+				return {{"name", this->settings.name}, {"role", "agent"}, {"zone", this->settings.zone}, {"version", kVersion}, {"incarnation", toHex(this->incarnation)}, {"upstream", this->settings.upstream.address}, {"leaving", load.leaving}, {"running", load.running}, {"queued", load.queued}, {"slots", load.slots}, {"meanRunMs", load.meanRunMs}, {"unfinished", this->unfinishedRuns()}, {"map", nullptr == this->rank ? "none" : this->rank->describe()}};
 			}
 
 			const AgentSettings settings;
@@ -165,5 +165,5 @@
 
 int main(int _argc, char** _argv)
 {
-	return archdyke::runDaemon<archdyke::AgentProcess>("archdyke-agent", "Stands before one upstream: queue, run ledger and expert map.", archdyke::loadAgentSettings, _argc, _argv);
+	return archdyke::runDaemon<archdyke::AgentProcess>("archdyke-agent", "Proxy in front of one upstream: queue, run ledger and expert map.", archdyke::loadAgentSettings, _argc, _argv);
 }
--- a/src/agent/agent_runs.cpp
+++ b/src/agent/agent_runs.cpp
@@ -8,9 +8,9 @@
 {
 	namespace
 	{
-		/// How long an ended run's answer is kept for a resume, ms.
-		constexpr Millis kAnswerKeepMs = 2 * kResumeMs;
-		/// When to come back to an upstream that can't be reached, ms.
+		/// How long the response of an ended run is kept for a resume, ms.
+		constexpr Millis kResponseRetentionMs = 2 * kResumeMs;
+		/// Retry delay that entries get while the upstream is unreachable, ms.
 		constexpr Millis kUpstreamDownRetryMs = 1000;
 	} // namespace
 
@@ -19,7 +19,7 @@
 	    , makeCall(std::move(_makeCall))
 	    , started(_metrics.counter("archdyke_agent_runs_started_total", "Runs sent to the upstream."))
 	    , refused(_metrics.counter("archdyke_agent_runs_refused_total", "Runs refused as not run."))
-	    , failed(_metrics.counter("archdyke_agent_runs_failed_total", "Runs whose answer is not whole."))
+	    , failed(_metrics.counter("archdyke_agent_runs_failed_total", "Runs whose response is incomplete."))
 	    , runSeconds(_metrics.seconds("archdyke_agent_run_seconds", "Time of a run at the upstream."))
 	{
 		{
@@ -31,7 +31,7 @@
 		for (std::uint32_t index = 0; index < _settings.slots; ++index)
 		{
 			this->threads.emplace_back([this] {
-				this->work();
+				this->runWorker();
 			});
 		}
 	}
@@ -47,25 +47,25 @@
 		return _session.agent == this->ledger.incarnation && openSession(this->ledger, _session, nowMs());
 	}
 
-	std::optional<Millis> AgentRuns::closedForMs(Millis _now) const
+	std::optional<Millis> AgentRuns::unavailableForMs(Millis _now) const
 	{
-		if (!this->upstreamUp)
+		if (!this->upstreamReachable)
 		{
 			return kUpstreamDownRetryMs;
 		}
-		const Millis left = remainingBackOffMs(this->backOff, _now);
-		return 0 < left ? std::optional(left) : std::nullopt;
+		const Millis remainingMs = remainingBackOffMs(this->backOff, _now);
+		return 0 < remainingMs ? std::optional(remainingMs) : std::nullopt;
 	}
 
-	VerdictEvent AgentRuns::offerLocked(const RunSpec& _run, const Session& _session, std::vector<Refused>& _evicted)
+	VerdictEvent AgentRuns::offerLocked(const RunSpec& _run, const Session& _session, std::vector<RefusedRun>& _evicted)
 	{
 		const Millis now = nowMs();
-		const std::optional<Millis> closedMs = this->closedForMs(now);
-		if (closedMs)
+		const std::optional<Millis> retryAfterMs = this->unavailableForMs(now);
+		if (retryAfterMs)
 		{
-			// Raised all the same, so that a revoke on this session finds the floor.
+			// The session is opened even so, so that a later revoke on it is checked against the right session floor.
 			openSession(this->ledger, _session, now);
-			return {false, RefusalReason::Overloaded, *closedMs};
+			return {false, RefusalReason::Overloaded, *retryAfterMs};
 		}
 		const RefusalReason reason = offerRun(this->ledger, _run.key, _session, _run.repeatable, now);
 		if (RefusalReason::None != reason)
@@ -78,7 +78,7 @@
 			dropRun(this->ledger, _run.key, now);
 			return {false, result.refusal, result.retryAfterMs};
 		}
-		this->runs[_run.key] = {_run, std::make_shared<AnswerBuffer>(_run.key), 0};
+		this->runs[_run.key] = {_run, std::make_shared<ResponseBuffer>(_run.key), 0};
 		if (result.evicted)
 		{
 			dropRun(this->ledger, *result.evicted, now);
@@ -88,18 +88,18 @@
 		return {true, RefusalReason::None, 0};
 	}
 
-	void AgentRuns::tell(const std::vector<Refused>& _refused)
+	void AgentRuns::notifyRefused(const std::vector<RefusedRun>& _refused)
 	{
-		for (const Refused& item : _refused)
+		for (const RefusedRun& item : _refused)
 		{
 			this->refused.Increment();
-			this->observer.verdict(item.key, item.verdict);
+			this->observer.onVerdict(item.key, item.verdict);
 		}
 	}
 
 	void AgentRuns::offer(const RunSpec& _run, const Session& _session)
 	{
-		std::vector<Refused> refusals;
+		std::vector<RefusedRun> refusals;
 		{
 			absl::MutexLock lock(&this->mutex);
 			const VerdictEvent verdict = this->offerLocked(_run, _session, refusals);
@@ -108,7 +108,7 @@
 				refusals.push_back({_run.key, verdict});
 			}
 		}
-		this->tell(refusals);
+		this->notifyRefused(refusals);
 	}
 
 	RevokeState AgentRuns::revoke(const RunKey& _key, const Session& _session)
@@ -135,15 +135,15 @@
 		const auto it = this->runs.find(_key);
 		if (this->runs.end() != it && it->second.spec.repeatable)
 		{
-			it->second.answer->cancelled = true;
+			it->second.response->cancelled = true;
 		}
 	}
 
-	std::shared_ptr<AnswerBuffer> AgentRuns::answer(const RunKey& _key)
+	std::shared_ptr<ResponseBuffer> AgentRuns::response(const RunKey& _key)
 	{
 		absl::MutexLock lock(&this->mutex);
 		const auto it = this->runs.find(_key);
-		return this->runs.end() == it ? nullptr : it->second.answer;
+		return this->runs.end() == it ? nullptr : it->second.response;
 	}
 
 	void AgentRuns::leave()
@@ -152,10 +152,10 @@
 		this->ledger.leaving = true;
 	}
 
-	void AgentRuns::hearUpstream(bool _up)
+	void AgentRuns::setUpstreamReachable(bool _up)
 	{
 		absl::MutexLock lock(&this->mutex);
-		this->upstreamUp = _up;
+		this->upstreamReachable = _up;
 	}
 
 	void AgentRuns::sweep()
@@ -164,7 +164,7 @@
 		const Millis now = nowMs();
 		removeExpiredRuns(this->ledger, now);
 		absl::erase_if(this->runs, [&](const auto& _run) {
-			return 0 != _run.second.endedAt && kAnswerKeepMs < now - _run.second.endedAt;
+			return 0 != _run.second.endedAt && kResponseRetentionMs < now - _run.second.endedAt;
 		});
 	}
 
@@ -174,7 +174,7 @@
 		LoadReport report;
 		report.running = this->admission.running;
 		report.queued = std::uint32_t(this->admission.queued);
-		report.slots = this->closedForMs(nowMs()) ? 0 : this->admission.slots;
+		report.slots = this->unavailableForMs(nowMs()) ? 0 : this->admission.slots;
 		report.leaving = this->ledger.leaving;
 		report.meanRunMs = std::uint32_t(this->admission.meanRunMs);
 		report.incarnation = this->ledger.incarnation;
@@ -200,12 +200,12 @@
 		this->threads.clear();
 	}
 
-	bool AgentRuns::workLeft() const
+	bool AgentRuns::hasWork() const
 	{
 		return this->stopping || (0 < this->admission.queued && this->admission.running < this->admission.slots);
 	}
 
-	std::optional<AgentRuns::ActiveRun> AgentRuns::takeLocked(std::vector<Refused>& _expired)
+	std::optional<AgentRuns::ActiveRun> AgentRuns::dequeueLocked(std::vector<RefusedRun>& _expired)
 	{
 		const Millis now = nowMs();
 		const TakeResult result = takeRun(this->admission, now);
@@ -222,7 +222,7 @@
 		const Millis backOffMs = remainingBackOffMs(this->backOff, now);
 		if (0 < backOffMs)
 		{
-			// The entry tries another agent: here its caller would get the upstream's refusal as an answer.
+			// The entry retries at another agent; sent now, the run would get the upstream's refusal as its response.
 			archdyke::endRun(this->admission, Millis(this->admission.meanRunMs));
 			dropRun(this->ledger, result.next->key, now);
 			this->runs.erase(result.next->key);
@@ -237,56 +237,56 @@
 		return this->runs[result.next->key];
 	}
 
-	void AgentRuns::work()
+	void AgentRuns::runWorker()
 	{
 		const UpstreamCall call = this->makeCall();
 		while (true)
 		{
-			std::vector<Refused> expired;
+			std::vector<RefusedRun> expired;
 			std::optional<ActiveRun> run;
 			{
 				absl::MutexLock lock(&this->mutex);
-				this->mutex.Await(absl::Condition(this, &AgentRuns::workLeft));
+				this->mutex.Await(absl::Condition(this, &AgentRuns::hasWork));
 				if (this->stopping && 0 == this->admission.queued)
 				{
 					return;
 				}
-				run = this->takeLocked(expired);
+				run = this->dequeueLocked(expired);
 			}
-			this->tell(expired);
+			this->notifyRefused(expired);
 			if (run)
 			{
-				this->serve(*run, call);
+				this->execute(*run, call);
 			}
 		}
 	}
 
-	void AgentRuns::serve(const ActiveRun& _run, const UpstreamCall& _call)
+	void AgentRuns::execute(const ActiveRun& _run, const UpstreamCall& _call)
 	{
 		const Millis startedAt = nowMs();
 		this->started.Increment();
-		this->observer.verdict(_run.spec.key, {true, RefusalReason::None, 0});
-		const bool reached = _call(_run.spec, *_run.answer);
-		this->finish(_run, reached, startedAt);
-		this->observer.answer(_run.spec.key);
+		this->observer.onVerdict(_run.spec.key, {true, RefusalReason::None, 0});
+		const bool reachedUpstream = _call(_run.spec, *_run.response);
+		this->finish(_run, reachedUpstream, startedAt);
+		this->observer.onResponseData(_run.spec.key);
 	}
 
-	void AgentRuns::finish(const ActiveRun& _run, bool _reached, Millis _startedAt)
+	void AgentRuns::finish(const ActiveRun& _run, bool _reachedUpstream, Millis _startedAt)
 	{
 		const Millis now = nowMs();
 		this->runSeconds.Observe(double(now - _startedAt) / 1000.0);
-		if (_run.answer->frameAt(_run.answer->size()).head.failed)
+		if (_run.response->frameAt(_run.response->size()).head.failed)
 		{
 			this->failed.Increment();
 		}
-		const Millis askedMs = _run.answer->backOffMs;
+		const Millis requestedMs = _run.response->backOffMs;
 		absl::MutexLock lock(&this->mutex);
-		if (0 < askedMs && recordBackOff(this->backOff, askedMs, now))
+		if (0 < requestedMs && recordBackOff(this->backOff, requestedMs, now))
 		{
-			logInfo("upstream_asks_back_off", {{"asked_ms", askedMs}, {"queued", this->admission.queued}});
+			logInfo("upstream_asks_back_off", {{"asked_ms", requestedMs}, {"queued", this->admission.queued}});
 		}
 		archdyke::endRun(this->admission, now - _startedAt);
-		if (_reached)
+		if (_reachedUpstream)
 		{
 			finishRun(this->ledger, _run.spec.key, now);
 		}
--- a/src/agent/agent_runs.h
+++ b/src/agent/agent_runs.h
@@ -1,4 +1,4 @@
-/// The runs of an agent: ledger, queue and the threads that talk to the upstream.
+/// Runs of an agent: ledger, admission queue and the threads that call the upstream.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -18,52 +18,52 @@
 
 namespace archdyke
 {
-	/// Sends one run to the upstream and fills its answer.
-	/// @returns Whether anything may have reached the upstream.
-	using UpstreamCall = std::function<bool(const RunSpec&, AnswerBuffer&)>;
+	/// Sends one run to the upstream and writes the response into the buffer.
+	/// @returns Whether any part of the run may have reached the upstream.
+	using UpstreamCall = std::function<bool(const RunSpec&, ResponseBuffer&)>;
 
-	/// What the runs tell their agent's loop. Called from any thread, no lock held.
+	/// Notifications to the agent's loop. Called from any thread, without a lock held.
 	struct RunObserver
 	{
-		std::function<void(const RunKey&, const VerdictEvent&)> verdict;
-		std::function<void(const RunKey&)> answer; ///< More of it is there.
+		std::function<void(const RunKey&, const VerdictEvent&)> onVerdict;
+		std::function<void(const RunKey&)> onResponseData; ///< More response data is available, or the response has ended.
 	};
 
 	class AgentRuns
 	{
 	public:
-		/// @param[in] _makeCall Makes an upstream call for one thread.
+		/// @param[in] _makeCall Creates the upstream call of one thread.
 		AgentRuns(std::uint64_t _incarnation, const UpstreamSettings& _settings, Metrics& _metrics, std::function<UpstreamCall()> _makeCall, RunObserver _observer);
 		~AgentRuns();
 
-		/// Opens a session of an entry; closes its older ones.
-		/// @returns false when the session is old or meant for another incarnation.
+		/// Opens a session of an entry and closes the older ones of that entry.
+		/// @returns false if the session is superseded or meant for another incarnation.
 		bool open(const Session& _session);
 
-		/// Takes a run in. The verdict comes through the observer: accepted when it
-		/// starts, refused at once or when it loses its place.
+		/// Admits a run to the queue. The verdict arrives through the observer: accepted when the run starts;
+		/// refused immediately, or later when the run is evicted from the queue or expires in it.
 		void offer(const RunSpec& _run, const Session& _session);
 
 		RevokeState revoke(const RunKey& _key, const Session& _session);
 
-		/// Drops a queued run; ends a repeatable one that has started.
+		/// Removes a queued run; aborts a started run only if it is repeatable.
 		void cancel(const RunKey& _key);
 
-		/// @returns The answer of a run; null when it isn't known any more.
-		std::shared_ptr<AnswerBuffer> answer(const RunKey& _key);
+		/// @returns The response of a run; null if the run is no longer known.
+		std::shared_ptr<ResponseBuffer> response(const RunKey& _key);
 
-		/// From now on new work is refused as not run. Nothing takes that back.
+		/// Refuses all further runs as not run. Permanent for this incarnation.
 		void leave();
 
-		/// Sets whether the upstream can be reached; new work is refused while not.
-		void hearUpstream(bool _up);
+		/// Sets whether the upstream is reachable; new runs are refused while it isn't.
+		void setUpstreamReachable(bool _up);
 
-		/// Forgets what is old.
+		/// Removes expired ledger records and responses.
 		void sweep();
 
 		LoadReport load();
 
-		/// @returns Runs queued or started.
+		/// @returns Number of runs that are queued or started.
 		std::size_t active();
 
 		/// Stops the threads once all runs have ended.
@@ -73,25 +73,25 @@
 		struct ActiveRun
 		{
 			RunSpec spec;
-			std::shared_ptr<AnswerBuffer> answer;
+			std::shared_ptr<ResponseBuffer> response;
 			Millis endedAt = 0;
 		};
 
-		struct Refused
+		struct RefusedRun
 		{
 			RunKey key;
 			VerdictEvent verdict;
 		};
 
-		void work();
-		/// @returns When to come back while the upstream takes nothing; none while it does.
-		std::optional<Millis> closedForMs(Millis _now) const ABSL_SHARED_LOCKS_REQUIRED(mutex);
-		bool workLeft() const ABSL_SHARED_LOCKS_REQUIRED(mutex);
-		VerdictEvent offerLocked(const RunSpec& _run, const Session& _session, std::vector<Refused>& _evicted) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-		std::optional<ActiveRun> takeLocked(std::vector<Refused>& _expired) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
-		void tell(const std::vector<Refused>& _refused);
-		void serve(const ActiveRun& _run, const UpstreamCall& _call);
-		void finish(const ActiveRun& _run, bool _reached, Millis _startedAt);
+		void runWorker();
+		/// @returns Retry delay while the upstream accepts no runs, ms; none while it accepts them.
+		std::optional<Millis> unavailableForMs(Millis _now) const ABSL_SHARED_LOCKS_REQUIRED(mutex);
+		bool hasWork() const ABSL_SHARED_LOCKS_REQUIRED(mutex);
+		VerdictEvent offerLocked(const RunSpec& _run, const Session& _session, std::vector<RefusedRun>& _evicted) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+		std::optional<ActiveRun> dequeueLocked(std::vector<RefusedRun>& _expired) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+		void notifyRefused(const std::vector<RefusedRun>& _refused);
+		void execute(const ActiveRun& _run, const UpstreamCall& _call);
+		void finish(const ActiveRun& _run, bool _reachedUpstream, Millis _startedAt);
 
 		const RunObserver observer;
 		const std::function<UpstreamCall()> makeCall;
@@ -104,7 +104,7 @@
 		Ledger ledger ABSL_GUARDED_BY(mutex);
 		AdmissionQueue admission ABSL_GUARDED_BY(mutex);
 		absl::flat_hash_map<RunKey, ActiveRun> runs ABSL_GUARDED_BY(mutex);
-		bool upstreamUp ABSL_GUARDED_BY(mutex) = true;
+		bool upstreamReachable ABSL_GUARDED_BY(mutex) = true;
 		BackOff backOff ABSL_GUARDED_BY(mutex);
 		bool stopping ABSL_GUARDED_BY(mutex) = false;
 		std::vector<std::thread> threads;
--- a/src/agent/agent_server.cpp
+++ b/src/agent/agent_server.cpp
@@ -20,7 +20,7 @@
 		this->rank = _rank;
 	}
 
-	void AgentServer::hearVerdict(const RunKey& _key, const VerdictEvent& _verdict)
+	void AgentServer::onVerdict(const RunKey& _key, const VerdictEvent& _verdict)
 	{
 		this->loop.post([this, key = _key, _verdict] {
 			const auto it = this->deliveries.find(key);
@@ -35,11 +35,11 @@
 				this->deliveries.erase(it);
 				return;
 			}
-			it->second.answer = this->runs->answer(key);
+			it->second.response = this->runs->response(key);
 		});
 	}
 
-	void AgentServer::hearAnswer(const RunKey& _key)
+	void AgentServer::onResponseData(const RunKey& _key)
 	{
 		this->loop.post([this, key = _key] {
 			this->pump(key);
@@ -79,17 +79,17 @@
 		this->runs->offer(run, session);
 		_context.releaseParams();
 		_context.allowCancellation();
-		auto whenDropped = kj::defer([this, key = run.key] {
+		auto onDropped = kj::defer([this, key = run.key] {
 			const auto it = this->deliveries.find(key);
 			if (this->deliveries.end() != it && nullptr != it->second.verdict.get())
 			{
-				it->second.orphanSince = nowMs();
+				it->second.orphanedAt = nowMs();
 			}
 		});
 		return pair.promise.then([this, _context](VerdictEvent _verdict) mutable {
 			                   writeVerdict(_context.getResults().initVerdict(), _verdict, this->runs->load());
 		                   })
-		    .attach(kj::mv(whenDropped));
+		    .attach(kj::mv(onDropped));
 	}
 
 	kj::Promise<void> AgentServer::revoke(RevokeContext _context)
@@ -107,19 +107,19 @@
 	kj::Promise<void> AgentServer::resume(ResumeContext _context)
 	{
 		const RunKey key = readKey(_context.getParams().getKey());
-		const std::shared_ptr<AnswerBuffer> answer = this->runs->open(readSession(_context.getParams().getSession())) ? this->runs->answer(key) : nullptr;
-		_context.getResults().setKnown(nullptr != answer);
-		if (nullptr == answer)
+		const std::shared_ptr<ResponseBuffer> response = this->runs->open(readSession(_context.getParams().getSession())) ? this->runs->response(key) : nullptr;
+		_context.getResults().setKnown(nullptr != response);
+		if (nullptr == response)
 		{
 			return kj::READY_NOW;
 		}
 		Delivery& delivery = this->deliveries[key];
 		delivery.sink = _context.getParams().getSink();
 		delivery.sinkNumber += 1;
-		delivery.answer = answer;
-		delivery.sent = _context.getParams().getOffset();
+		delivery.response = response;
+		delivery.sentBytes = _context.getParams().getOffset();
 		delivery.sending = false;
-		delivery.orphanSince = 0;
+		delivery.orphanedAt = 0;
 		this->pump(key);
 		return kj::READY_NOW;
 	}
@@ -134,40 +134,40 @@
 
 	namespace
 	{
-		/// An answer that comes from another thread.
-		template <typename Answer>
-		struct LaterAnswer
+		/// Result that another thread provides.
+		template <typename Result>
+		struct DeferredResult
 		{
-			explicit LaterAnswer(RpcLoop& _loop)
+			explicit DeferredResult(RpcLoop& _loop)
 			    : loop(_loop)
-			    , pair(kj::newPromiseAndFulfiller<Answer>())
-			    , fulfiller(std::make_shared<kj::Own<kj::PromiseFulfiller<Answer>>>(kj::mv(this->pair.fulfiller)))
+			    , pair(kj::newPromiseAndFulfiller<Result>())
+			    , fulfiller(std::make_shared<kj::Own<kj::PromiseFulfiller<Result>>>(kj::mv(this->pair.fulfiller)))
 			{
 			}
 
-			/// @returns What to call from the other thread.
-			std::function<void(const Answer&)> giver() const
+			/// @returns Callback that delivers the result; called from the other thread.
+			std::function<void(const Result&)> callback() const
 			{
-				return [&target = this->loop, shared = this->fulfiller](const Answer& _answer) {
-					target.post([shared, _answer] {
-						(*shared)->fulfill(kj::cp(_answer));
+				return [&target = this->loop, shared = this->fulfiller](const Result& _result) {
+					target.post([shared, _result] {
+						(*shared)->fulfill(kj::cp(_result));
 					});
 				};
 			}
 
 			RpcLoop& loop;
-			kj::PromiseFulfillerPair<Answer> pair;
-			std::shared_ptr<kj::Own<kj::PromiseFulfiller<Answer>>> fulfiller;
+			kj::PromiseFulfillerPair<Result> pair;
+			std::shared_ptr<kj::Own<kj::PromiseFulfiller<Result>>> fulfiller;
 		};
 
-		kj::Exception noRank()
+		kj::Exception noRankError()
 		{
-			return KJ_EXCEPTION(FAILED, "no engine rank answers here");
+			return KJ_EXCEPTION(FAILED, "this agent's upstream is no engine rank");
 		}
 
 		using MaybeReport = std::optional<RankReport>;
 
-		struct StageAnswer
+		struct StageResult
 		{
 			bool done = false;
 			MaybeReport report;
@@ -178,14 +178,14 @@
 	{
 		if (nullptr == this->rank)
 		{
-			return noRank();
+			return noRankError();
 		}
-		LaterAnswer<MaybeReport> later(this->loop);
-		this->rank->report(_context.getParams().getWithLoad(), later.giver());
-		return later.pair.promise.then([_context](MaybeReport _report) mutable {
+		DeferredResult<MaybeReport> deferred(this->loop);
+		this->rank->report(_context.getParams().getWithLoad(), deferred.callback());
+		return deferred.pair.promise.then([_context](MaybeReport _report) mutable {
 			if (!_report)
 			{
-				kj::throwFatalException(noRank());
+				kj::throwFatalException(noRankError());
 			}
 			writeReport(_context.getResults().initReport(), *_report);
 		});
@@ -195,16 +195,16 @@
 	{
 		if (nullptr == this->rank)
 		{
-			return noRank();
+			return noRankError();
 		}
-		LaterAnswer<StageAnswer> later(this->loop);
+		DeferredResult<StageResult> deferred(this->loop);
 		const auto params = _context.getParams();
-		this->rank->stage(params.getFence(), params.getMap().cStr(), [give = later.giver()](bool _done, MaybeReport _report) {
-			give({_done, std::move(_report)});
+		this->rank->stage(params.getFence(), params.getMap().cStr(), [complete = deferred.callback()](bool _done, MaybeReport _report) {
+			complete({_done, std::move(_report)});
 		});
-		return later.pair.promise.then([_context](const StageAnswer& _answer) mutable {
-			_context.getResults().setDone(_answer.done);
-			writeReport(_context.getResults().initReport(), _answer.report.value_or(RankReport{}));
+		return deferred.pair.promise.then([_context](const StageResult& _result) mutable {
+			_context.getResults().setDone(_result.done);
+			writeReport(_context.getResults().initReport(), _result.report.value_or(RankReport{}));
 		});
 	}
 
@@ -212,11 +212,11 @@
 	{
 		if (nullptr == this->rank)
 		{
-			return noRank();
+			return noRankError();
 		}
-		LaterAnswer<VoteReply> later(this->loop);
-		this->rank->hear(readVotes(_context.getParams().getMine()), later.giver());
-		return later.pair.promise.then([_context](const VoteReply& _reply) mutable {
+		DeferredResult<VoteReply> deferred(this->loop);
+		this->rank->receiveVotes(readVotes(_context.getParams().getMine()), deferred.callback());
+		return deferred.pair.promise.then([_context](const VoteReply& _reply) mutable {
 			_context.getResults().setRefusal(std::uint16_t(_reply.refusal));
 			writeVotes(_context.getResults().initTheirs(), _reply.theirs);
 		});
@@ -225,12 +225,12 @@
 	void AgentServer::pump(const RunKey& _key)
 	{
 		const auto it = this->deliveries.find(_key);
-		if (this->deliveries.end() == it || it->second.sending || nullptr == it->second.answer)
+		if (this->deliveries.end() == it || it->second.sending || nullptr == it->second.response)
 		{
 			return;
 		}
 		Delivery& delivery = it->second;
-		const AnswerFrame frame = delivery.answer->frameAt(delivery.sent);
+		const AnswerFrame frame = delivery.response->frameAt(delivery.sentBytes);
 		if (frame.bytes.empty() && !frame.head.end)
 		{
 			return;
@@ -243,15 +243,15 @@
 			const std::uint64_t number = delivery.sinkNumber;
 			const std::uint64_t upTo = frame.head.offset + frame.head.size;
 			this->loop.spawn(request.send().then([this, self = kj::addRef(*this), key = _key, number, upTo, end = frame.head.end] {
-				this->sent(key, number, upTo, end);
+				this->onFrameSent(key, number, upTo, end);
 			},
 			                                     [this, self = kj::addRef(*this), key = _key, number](kj::Exception&&) {
-				this->loseSink(key, number);
+				this->onSinkLost(key, number);
 			}));
 		}
 	}
 
-	void AgentServer::sent(const RunKey& _key, std::uint64_t _sinkNumber, std::uint64_t _upTo, bool _end)
+	void AgentServer::onFrameSent(const RunKey& _key, std::uint64_t _sinkNumber, std::uint64_t _upTo, bool _end)
 	{
 		const auto it = this->deliveries.find(_key);
 		if (this->deliveries.end() == it || _sinkNumber != it->second.sinkNumber)
@@ -264,11 +264,11 @@
 			return;
 		}
 		it->second.sending = false;
-		it->second.sent = _upTo;
+		it->second.sentBytes = _upTo;
 		this->pump(_key);
 	}
 
-	void AgentServer::loseSink(const RunKey& _key, std::uint64_t _sinkNumber)
+	void AgentServer::onSinkLost(const RunKey& _key, std::uint64_t _sinkNumber)
 	{
 		const auto it = this->deliveries.find(_key);
 		if (this->deliveries.end() == it || _sinkNumber != it->second.sinkNumber)
@@ -277,7 +277,7 @@
 		}
 		it->second.sink = nullptr;
 		it->second.sending = false;
-		it->second.orphanSince = nowMs();
+		it->second.orphanedAt = nowMs();
 	}
 
 	void AgentServer::sweep()
@@ -286,7 +286,7 @@
 		std::vector<RunKey> orphans;
 		for (const auto& [key, delivery] : this->deliveries)
 		{
-			if (0 != delivery.orphanSince && kOrphanKeepMs < now - delivery.orphanSince)
+			if (0 != delivery.orphanedAt && kOrphanKeepMs < now - delivery.orphanedAt)
 			{
 				orphans.push_back(key);
 			}
--- a/src/agent/agent_server.h
+++ b/src/agent/agent_server.h
@@ -1,4 +1,4 @@
-/// The agent's side of the protocol: takes runs from entries and sends their answers.
+/// The agent's side of the RPC protocol: receives runs from entries and sends their responses.
 #pragma once
 
 #include <absl/container/flat_hash_map.h>
@@ -13,22 +13,22 @@
 {
 	class RankControl;
 
-	/// Lives on its loop's thread; hearVerdict and hearAnswer may be called from any.
+	/// Runs on its loop's thread; only onVerdict and onResponseData may be called from any thread.
 	class AgentServer final : public rpc::Agent::Server, public kj::Refcounted
 	{
 	public:
 		AgentServer(RpcLoop& _loop, std::uint64_t _incarnation);
 
-		/// Sets what it serves. Before the first call.
+		/// Sets the runs and the rank that it serves; called before the first RPC call. _rank may be null.
 		void attach(AgentRuns* _runs, RankControl* _rank);
 
-		void hearVerdict(const RunKey& _key, const VerdictEvent& _verdict);
-		void hearAnswer(const RunKey& _key);
+		void onVerdict(const RunKey& _key, const VerdictEvent& _verdict);
+		void onResponseData(const RunKey& _key);
 
-		/// Ends runs whose entry has been lost for too long. On the loop's thread.
+		/// Cancels runs whose entry has been lost for longer than kOrphanKeepMs. Called on the loop's thread.
 		void sweep();
 
-		/// @returns Runs whose answer isn't fully sent. On the loop's thread.
+		/// @returns Number of runs whose response isn't completely sent. Called on the loop's thread.
 		std::size_t undelivered() const;
 
 	protected:
@@ -43,21 +43,21 @@
 		kj::Promise<void> exchangeVotes(ExchangeVotesContext _context) override;
 
 	private:
-		/// How far the answer of one run has been sent, and where to.
+		/// Delivery state of the response of one run.
 		struct Delivery
 		{
 			kj::Own<kj::PromiseFulfiller<VerdictEvent>> verdict;
 			kj::Maybe<rpc::Sink::Client> sink;
-			std::uint64_t sinkNumber = 0; ///< Rises with each new sink.
-			std::shared_ptr<AnswerBuffer> answer;
-			std::uint64_t sent = 0;
+			std::uint64_t sinkNumber = 0; ///< Increases with each new sink.
+			std::shared_ptr<ResponseBuffer> response;
+			std::uint64_t sentBytes = 0;
 			bool sending = false;
-			Millis orphanSince = 0;
+			Millis orphanedAt = 0; ///< When the entry was lost; 0 while it is connected.
 		};
 
 		void pump(const RunKey& _key);
-		void sent(const RunKey& _key, std::uint64_t _sinkNumber, std::uint64_t _upTo, bool _end);
-		void loseSink(const RunKey& _key, std::uint64_t _sinkNumber);
+		void onFrameSent(const RunKey& _key, std::uint64_t _sinkNumber, std::uint64_t _upTo, bool _end);
+		void onSinkLost(const RunKey& _key, std::uint64_t _sinkNumber);
 
 		RpcLoop& loop;
 		const std::uint64_t incarnation;
--- a/src/agent/answer_buffer.cpp
+++ b/src/agent/answer_buffer.cpp
@@ -4,24 +4,24 @@
 
 namespace archdyke
 {
-	AnswerBuffer::AnswerBuffer(RunKey _key)
+	ResponseBuffer::ResponseBuffer(RunKey _key)
 	    : run(std::move(_key))
 	{
 	}
 
-	const RunKey& AnswerBuffer::key() const
+	const RunKey& ResponseBuffer::key() const
 	{
 		return this->run;
 	}
 
-	void AnswerBuffer::begin(int _status, const std::string& _contentType)
+	void ResponseBuffer::begin(int _status, const std::string& _contentType)
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->status = _status;
 		this->contentType = _contentType;
 	}
 
-	bool AnswerBuffer::append(std::string_view _bytes)
+	bool ResponseBuffer::append(std::string_view _bytes)
 	{
 		absl::MutexLock lock(&this->mutex);
 		if (kMaxAnswerBytes < this->bytes.size() + _bytes.size())
@@ -32,32 +32,32 @@
 		return true;
 	}
 
-	void AnswerBuffer::complete()
+	void ResponseBuffer::complete()
 	{
 		absl::MutexLock lock(&this->mutex);
-		this->whole = true;
+		this->completed = true;
 	}
 
-	void AnswerBuffer::fail(bool _notRun)
+	void ResponseBuffer::fail(bool _notRun)
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->failed = true;
 		this->notRun = _notRun;
 	}
 
-	bool AnswerBuffer::ended() const
+	bool ResponseBuffer::ended() const
 	{
 		absl::MutexLock lock(&this->mutex);
-		return this->whole || this->failed;
+		return this->completed || this->failed;
 	}
 
-	std::size_t AnswerBuffer::size() const
+	std::size_t ResponseBuffer::size() const
 	{
 		absl::MutexLock lock(&this->mutex);
 		return this->bytes.size();
 	}
 
-	AnswerFrame AnswerBuffer::frameAt(std::uint64_t _offset) const
+	AnswerFrame ResponseBuffer::frameAt(std::uint64_t _offset) const
 	{
 		absl::MutexLock lock(&this->mutex);
 		AnswerFrame frame;
@@ -65,7 +65,7 @@
 		frame.status = this->status;
 		frame.contentType = this->contentType;
 		frame.notRun = this->notRun;
-		const bool end = this->whole || this->failed;
+		const bool end = this->completed || this->failed;
 		frame.head = {this->run, _offset, frame.bytes.size(), end, this->bytes.size(), this->failed};
 		return frame;
 	}
--- a/src/agent/answer_buffer.h
+++ b/src/agent/answer_buffer.h
@@ -1,5 +1,5 @@
-/// The answer of one run: filled by the thread that talks to the upstream, read by the
-/// loop that sends it on, kept for a resume.
+/// Response of one run: written by the thread that calls the upstream, read by the loop that forwards it,
+/// and kept for a resume.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -11,36 +11,36 @@
 
 namespace archdyke
 {
-	class AnswerBuffer
+	class ResponseBuffer
 	{
 	public:
-		explicit AnswerBuffer(RunKey _key);
+		explicit ResponseBuffer(RunKey _key);
 
 		const RunKey& key() const;
 
-		/// Notes the upstream's status line.
+		/// Records status and content type of the upstream's response.
 		void begin(int _status, const std::string& _contentType);
 
-		/// @returns false when the answer would pass kMaxAnswerBytes.
+		/// @returns false if the response would exceed kMaxAnswerBytes; the bytes are not appended then.
 		bool append(std::string_view _bytes);
 
-		/// No more bytes follow; the answer is whole.
+		/// Marks the response as complete; no more bytes follow.
 		void complete();
 
-		/// No more bytes follow; the answer is not whole.
-		/// @param[in] _notRun Nothing reached the upstream.
+		/// Marks the response as incomplete; no more bytes follow.
+		/// @param[in] _notRun Whether it is proved that nothing reached the upstream.
 		void fail(bool _notRun);
 
 		bool ended() const;
 		std::size_t size() const;
 
-		/// @returns The frame that starts at _offset: all bytes there are.
+		/// @returns The frame that starts at _offset, with all bytes received so far.
 		AnswerFrame frameAt(std::uint64_t _offset) const;
 
-		/// For how long the upstream asked to be sent nothing, ms; 0: it didn't.
+		/// How long the upstream asked to be sent no requests, ms; 0 if it didn't ask.
 		std::atomic<Millis> backOffMs{0};
 
-		/// Set once nobody wants the answer any more.
+		/// Set once the response is no longer needed.
 		std::atomic<bool> cancelled{false};
 
 	private:
@@ -49,7 +49,7 @@
 		std::string bytes ABSL_GUARDED_BY(mutex);
 		std::string contentType ABSL_GUARDED_BY(mutex);
 		int status ABSL_GUARDED_BY(mutex) = 0;
-		bool whole ABSL_GUARDED_BY(mutex) = false;
+		bool completed ABSL_GUARDED_BY(mutex) = false;
 		bool failed ABSL_GUARDED_BY(mutex) = false;
 		bool notRun ABSL_GUARDED_BY(mutex) = false;
 	};
--- a/src/agent/rank_control.cpp
+++ b/src/agent/rank_control.cpp
@@ -11,10 +11,10 @@
 {
 	namespace
 	{
-		/// Between two looks at the engine while a proposal is open, ms.
-		constexpr Millis kTickMs = 15;
-		/// After this long without an outcome, agents ask each other and not only rank 0, ms.
-		constexpr Millis kAskAllMs = 150;
+		/// Interval between reads of the engine's state while a proposal is open, ms.
+		constexpr Millis kPollIntervalMs = 15;
+		/// Time without an outcome after which agents exchange votes with other ranks than rank 0 too, ms.
+		constexpr Millis kFallbackGossipDelayMs = 150;
 		constexpr std::uint32_t kFirstRank = 0;
 
 		GroupProposal readContext(const std::string& _context)
@@ -35,7 +35,7 @@
 	    , aborted(_metrics.counter("archdyke_agent_map_switches_total", "Map switches by outcome.", {{"outcome", "aborted"}}))
 	    , random(randomId())
 	    , thread([this] {
-		    this->work();
+		    this->runThread();
 	    })
 	{
 	}
@@ -71,16 +71,16 @@
 
 	VoteMessage RankControl::messageFor(std::uint32_t _rank) const
 	{
-		return {{*this->known.proposal, this->peers, _rank}, this->known.votes, this->known.released};
+		return {{*this->mapSwitch.proposal, this->peers, _rank}, this->mapSwitch.votes, this->mapSwitch.released};
 	}
 
-	/// Reads the engine; its answer is the only source of this rank's vote.
-	void RankControl::refresh()
+	/// Reads the engine's state, which is the only source of this rank's vote.
+	void RankControl::refreshState()
 	{
-		applyRankState(this->known, this->engine.read(nullptr, nullptr, nullptr));
+		applyRankState(this->mapSwitch, this->engine.read(nullptr, nullptr, nullptr));
 	}
 
-	/// An agent that starts anew finds an open proposal by what its engine is armed for.
+	/// Recovers an open proposal after a restart of the agent, from the proposal that the engine is armed for.
 	void RankControl::recover()
 	{
 		std::string context;
@@ -90,12 +90,12 @@
 			return;
 		}
 		const GroupProposal group = readContext(context);
-		this->known.rank = group.rank;
-		receiveProposal(this->known, group.proposal);
+		this->mapSwitch.rank = group.rank;
+		receiveProposal(this->mapSwitch, group.proposal);
 		this->peers = group.peers;
 		this->peerReleased.assign(this->peers.size(), false);
 		this->openedAt = nowMs();
-		applyRankState(this->known, state);
+		applyRankState(this->mapSwitch, state);
 		logInfo("map_recovered", {{"number", group.proposal.number}});
 	}
 
@@ -103,9 +103,9 @@
 	{
 		RankReport report;
 		report.state = this->engine.read(_withLoad ? &report.load : nullptr, nullptr, &report.staged);
-		report.pending = isPending(this->known) || 0 != report.state.armed;
-		report.highestFence = this->known.highestFence;
-		report.lastNumber = std::max({this->known.proposal ? this->known.proposal->number : 0, report.state.armed, report.state.floor, report.state.decided});
+		report.pending = isPending(this->mapSwitch) || 0 != report.state.armed;
+		report.highestFence = this->mapSwitch.highestFence;
+		report.lastNumber = std::max({this->mapSwitch.proposal ? this->mapSwitch.proposal->number : 0, report.state.armed, report.state.floor, report.state.decided});
 		return report;
 	}
 
@@ -128,10 +128,10 @@
 		this->post([this, _fence, map = _map, done = std::move(_done)] {
 			try
 			{
-				// Also for engines that check no fence.
-				const bool old = _fence < this->known.highestFence;
-				this->known.highestFence = std::max(this->known.highestFence, _fence);
-				const bool staged = !old && this->engine.stage(_fence, map);
+				// The agent checks the fence itself, because some engines don't.
+				const bool isStale = _fence < this->mapSwitch.highestFence;
+				this->mapSwitch.highestFence = std::max(this->mapSwitch.highestFence, _fence);
+				const bool staged = !isStale && this->engine.stage(_fence, map);
 				done(staged, this->makeReport(false));
 			}
 			catch (const ArchdykeError&)
@@ -141,47 +141,47 @@
 		});
 	}
 
-	void RankControl::hear(const VoteMessage& _message, std::function<void(const VoteReply&)> _done)
+	void RankControl::receiveVotes(const VoteMessage& _message, std::function<void(const VoteReply&)> _done)
 	{
 		this->post([this, message = _message, done = std::move(_done)] {
-			const bool isNew = !this->known.proposal || message.group.proposal.number != this->known.proposal->number;
+			const bool isNew = !this->mapSwitch.proposal || message.group.proposal.number != this->mapSwitch.proposal->number;
 			VoteReply reply;
-			reply.refusal = receiveProposal(this->known, message.group.proposal);
+			reply.refusal = receiveProposal(this->mapSwitch, message.group.proposal);
 			if (ProposalRefusal::None == reply.refusal)
 			{
 				if (isNew)
 				{
-					this->known.rank = message.group.rank;
+					this->mapSwitch.rank = message.group.rank;
 					this->peers = message.group.peers;
 					this->peerReleased.assign(this->peers.size(), false);
 					this->openedAt = nowMs();
 				}
-				mergeVotes(this->known, message.group.proposal.number, message.votes);
+				mergeVotes(this->mapSwitch, message.group.proposal.number, message.votes);
 				this->advance();
 			}
-			if (this->known.proposal)
+			if (this->mapSwitch.proposal)
 			{
-				reply.theirs = this->messageFor(this->known.rank);
+				reply.theirs = this->messageFor(this->mapSwitch.rank);
 			}
 			done(reply);
 		});
 	}
 
-	/// Moves the engine on as far as what is known allows.
+	/// Sends the engine the orders that follow from the known votes.
 	void RankControl::advance()
 	{
-		if (!this->known.proposal)
+		if (!this->mapSwitch.proposal)
 		{
 			return;
 		}
 		try
 		{
-			const GroupProposal group{*this->known.proposal, this->peers, this->known.rank};
+			const GroupProposal group{*this->mapSwitch.proposal, this->peers, this->mapSwitch.rank};
 			for (int orders = 0; orders < 3; ++orders)
 			{
 				const RankState state = this->engine.read(nullptr, nullptr, nullptr);
-				applyRankState(this->known, state);
-				const RankOrder order = nextOrder(this->known, state);
+				applyRankState(this->mapSwitch, state);
+				const RankOrder order = nextOrder(this->mapSwitch, state);
 				if (RankOrder::None == order)
 				{
 					break;
@@ -192,82 +192,82 @@
 					this->engine.order(RankOrder::Refuse, group);
 				}
 			}
-			this->refresh();
+			this->refreshState();
 			this->logOutcome();
 		}
 		catch (const ArchdykeError&)
 		{
-			// The next tick tries again; until then no vote is told.
+			// Retried after the next poll interval; until then no new vote of this rank is sent.
 		}
 	}
 
 	void RankControl::logOutcome()
 	{
-		const MapOutcome outcome = outcomeOf(this->known);
-		if (MapOutcome::Open != outcome && this->known.released && this->loggedNumber != this->known.proposal->number)
+		const MapOutcome outcome = outcomeOf(this->mapSwitch);
+		if (MapOutcome::Open != outcome && this->mapSwitch.released && this->loggedNumber != this->mapSwitch.proposal->number)
 		{
-			this->loggedNumber = this->known.proposal->number;
+			this->loggedNumber = this->mapSwitch.proposal->number;
 			(MapOutcome::Committed == outcome ? this->committed : this->aborted).Increment();
-			logInfo("map_switch", {{"group", this->known.proposal->group}, {"rank", this->known.rank}, {"number", this->known.proposal->number}, {"outcome", toString(outcome)}, {"boundary", this->known.proposal->boundary}, {"ms", nowMs() - this->openedAt}});
+			logInfo("map_switch", {{"group", this->mapSwitch.proposal->group}, {"rank", this->mapSwitch.rank}, {"number", this->mapSwitch.proposal->number}, {"outcome", toString(outcome)}, {"boundary", this->mapSwitch.proposal->boundary}, {"ms", nowMs() - this->openedAt}});
 		}
 		absl::MutexLock lock(&this->mutex);
-		this->description = this->known.proposal ? "proposal " + std::to_string(this->known.proposal->number) + " " + std::string(toString(outcome)) + (this->known.released ? " released" : " pending") : "none";
+		this->description = this->mapSwitch.proposal ? "proposal " + std::to_string(this->mapSwitch.proposal->number) + " " + std::string(toString(outcome)) + (this->mapSwitch.released ? " released" : " pending") : "none";
 	}
 
-	/// @returns Whether somebody may still need what this agent knows.
-	bool RankControl::mustGossip()
+	/// @returns Whether another agent may still need the votes that this agent knows.
+	bool RankControl::needsGossip()
 	{
-		if (!this->known.proposal || this->peers.size() < 2)
+		if (!this->mapSwitch.proposal || this->peers.size() < 2)
 		{
 			return false;
 		}
-		if (isPending(this->known))
+		if (isPending(this->mapSwitch))
 		{
 			return true;
 		}
-		const std::uint32_t next = (this->known.rank + 1) % std::uint32_t(this->peers.size());
-		const bool first = kFirstRank == this->known.rank;
-		return !this->peerReleased[next] || (first && this->peerReleased.end() != std::find(this->peerReleased.begin(), this->peerReleased.end(), false));
+		const std::uint32_t next = (this->mapSwitch.rank + 1) % std::uint32_t(this->peers.size());
+		const bool isFirst = kFirstRank == this->mapSwitch.rank;
+		return !this->peerReleased[next] || (isFirst && this->peerReleased.end() != std::find(this->peerReleased.begin(), this->peerReleased.end(), false));
 	}
 
-	/// Votes gather at rank 0, which hands the outcome to all: messages grow with the
-	/// ranks. The ring to the next rank, and random ranks after a while, stand in for a
-	/// rank 0 that doesn't answer.
+	/// Rank 0 collects the votes and distributes the outcome, so that the number of messages grows linearly with
+	/// the ranks. After kFallbackGossipDelayMs without an outcome, votes also go to the next rank and to random ranks, in case
+	/// rank 0 is unreachable.
 	void RankControl::gossip()
 	{
 		const auto count = std::uint32_t(this->peers.size());
-		this->peerReleased[this->known.rank] = this->known.released;
-		const bool open = MapOutcome::Open == outcomeOf(this->known);
-		if (kFirstRank == this->known.rank)
+		this->peerReleased[this->mapSwitch.rank] = this->mapSwitch.released;
+		const bool isOpen = MapOutcome::Open == outcomeOf(this->mapSwitch);
+		if (kFirstRank == this->mapSwitch.rank)
 		{
 			for (std::uint32_t rank = 1; rank < count; ++rank)
 			{
 				if (!this->peerReleased[rank])
 				{
-					this->tellPeer(rank);
+					this->sendVotes(rank);
 				}
 			}
 			return;
 		}
-		if (open)
+		if (isOpen)
 		{
-			this->tellPeer(kFirstRank);
+			this->sendVotes(kFirstRank);
 		}
-		const std::uint32_t next = (this->known.rank + 1) % count;
-		const bool late = kAskAllMs < nowMs() - this->openedAt;
-		if (late && !this->peerReleased[next])
+		const std::uint32_t next = (this->mapSwitch.rank + 1) % count;
+		const bool isOverdue = kFallbackGossipDelayMs < nowMs() - this->openedAt;
+		if (isOverdue && !this->peerReleased[next])
 		{
-			this->tellPeer(next);
+			this->sendVotes(next);
 		}
-		if (late && open)
+		if (isOverdue && isOpen)
 		{
-			this->tellPeer(std::uint32_t(randomBelow(this->random, count)));
+			this->sendVotes(std::uint32_t(randomBelow(this->random, count)));
 		}
 	}
 
-	void RankControl::tellPeer(std::uint32_t _rank)
+	void RankControl::sendVotes(std::uint32_t _rank)
 	{
-		if (_rank == this->known.rank)
+		if (_rank == this->mapSwitch.rank)
 		{
 			return;
 		}
@@ -275,45 +275,45 @@
 			if (_reply)
 			{
 				this->post([this, _rank, reply = *_reply] {
-					this->hearReply(_rank, reply);
+					this->processReply(_rank, reply);
 				});
 			}
 		});
 	}
 
-	void RankControl::hearReply(std::uint32_t _rank, const VoteReply& _reply)
+	void RankControl::processReply(std::uint32_t _rank, const VoteReply& _reply)
 	{
-		const bool same = this->known.proposal && this->known.proposal->number == _reply.theirs.group.proposal.number;
-		const bool later = this->known.proposal && _reply.theirs.group.proposal.number > this->known.proposal->number;
-		if (_rank < this->peerReleased.size() && (later || (same && _reply.theirs.released)))
+		const bool sameProposal = this->mapSwitch.proposal && this->mapSwitch.proposal->number == _reply.theirs.group.proposal.number;
+		const bool laterProposal = this->mapSwitch.proposal && _reply.theirs.group.proposal.number > this->mapSwitch.proposal->number;
+		if (_rank < this->peerReleased.size() && (laterProposal || (sameProposal && _reply.theirs.released)))
 		{
 			this->peerReleased[_rank] = true;
 		}
-		if (same)
+		if (sameProposal)
 		{
-			mergeVotes(this->known, _reply.theirs.group.proposal.number, _reply.theirs.votes);
+			mergeVotes(this->mapSwitch, _reply.theirs.group.proposal.number, _reply.theirs.votes);
 			this->advance();
 		}
 	}
 
-	void RankControl::work()
+	void RankControl::runThread()
 	{
 		bool recovered = false;
 		Millis gossipedAt = 0;
 		while (true)
 		{
-			std::deque<Job> taken;
+			std::deque<Job> pendingJobs;
 			{
 				absl::MutexLock lock(&this->mutex);
-				const auto awake = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
+				const auto mustWake = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
 					return this->stopping || !this->jobs.empty();
 				};
-				this->mutex.AwaitWithTimeout(absl::Condition(&awake), absl::Milliseconds(kTickMs));
+				this->mutex.AwaitWithTimeout(absl::Condition(&mustWake), absl::Milliseconds(kPollIntervalMs));
 				if (this->stopping)
 				{
 					return;
 				}
-				taken.swap(this->jobs);
+				pendingJobs.swap(this->jobs);
 			}
 			try
 			{
@@ -325,16 +325,16 @@
 			}
 			catch (const ArchdykeError&)
 			{
-				// No vote before the engine has told what it is armed for.
+				// No vote is sent before the engine has reported which proposal it is armed for.
 				absl::MutexLock lock(&this->mutex);
-				this->jobs.insert(this->jobs.begin(), std::make_move_iterator(taken.begin()), std::make_move_iterator(taken.end()));
+				this->jobs.insert(this->jobs.begin(), std::make_move_iterator(pendingJobs.begin()), std::make_move_iterator(pendingJobs.end()));
 				continue;
 			}
-			for (Job& job : taken)
+			for (Job& job : pendingJobs)
 			{
 				job();
 			}
-			if (this->mustGossip() && kTickMs <= nowMs() - gossipedAt)
+			if (this->needsGossip() && kPollIntervalMs <= nowMs() - gossipedAt)
 			{
 				gossipedAt = nowMs();
 				this->advance();
--- a/src/agent/rank_control.h
+++ b/src/agent/rank_control.h
@@ -1,6 +1,5 @@
-/// The agent's part in its group's expert map: orders to its engine rank, its vote, and
-/// what it hears from the agents of the other ranks. All orders to the engine go through
-/// one thread.
+/// The agent's part in the switches of its group's expert map: sends orders to its engine rank, votes, and
+/// exchanges votes with the agents of the other ranks. All calls to the engine are made by one thread.
 #pragma once
 
 #include <absl/functional/any_invocable.h>
@@ -20,17 +19,17 @@
 
 namespace archdyke
 {
-	/// A proposal as one agent of the group gets it.
+	/// Proposal as sent to one agent of the group.
 	struct GroupProposal
 	{
 		MapProposal proposal;
 		std::vector<std::string> peers; ///< Addresses of the group's agents, by rank.
-		std::uint32_t rank = 0;         ///< Of the agent that gets it.
+		std::uint32_t rank = 0;         ///< Of the receiving agent.
 
 		bool operator==(const GroupProposal&) const = default;
 	};
 
-	/// What agents of a group tell each other.
+	/// Votes that agents of a group exchange.
 	struct VoteMessage
 	{
 		GroupProposal group;
@@ -40,7 +39,7 @@
 		bool operator==(const VoteMessage&) const = default;
 	};
 
-	/// Answer to a vote message.
+	/// Reply to a vote message.
 	struct VoteReply
 	{
 		ProposalRefusal refusal = ProposalRefusal::None;
@@ -49,7 +48,7 @@
 		bool operator==(const VoteReply&) const = default;
 	};
 
-	/// What a planner asks for.
+	/// Report that a planner requests.
 	struct RankReport
 	{
 		RankState state;
@@ -57,12 +56,12 @@
 		std::uint64_t highestFence = 0;
 		std::uint64_t lastNumber = 0;
 		std::uint64_t staged = 0;
-		std::string load; ///< JSON with counts and hosts; empty if not asked for.
+		std::string load; ///< JSON with counts and hosts; empty if not requested.
 
 		bool operator==(const RankReport&) const = default;
 	};
 
-	/// Talks to the engine rank. Throws ArchdykeError when it can't be reached.
+	/// Client of the engine rank. Calls throw ArchdykeError if the rank is unreachable.
 	class RankEngine
 	{
 	public:
@@ -72,7 +71,7 @@
 		/// @param[in] _load Set to JSON with counts and hosts, if not null.
 		RankState read(std::string* _load, std::string* _armedContext, std::uint64_t* _staged);
 
-		/// @returns Whether the engine did it.
+		/// @returns Whether the engine carried out the order.
 		bool stage(std::uint64_t _fence, const std::string& _map);
 		bool order(RankOrder _order, const GroupProposal& _proposal);
 
@@ -81,8 +80,8 @@
 		std::unique_ptr<State> state;
 	};
 
-	/// Sends a vote message to another agent. Its answer comes on the loop's thread; none
-	/// when there is no answer.
+	/// Sends vote messages to other agents. _done is called on the loop's thread, with no reply if the call failed
+	/// or timed out.
 	class VoteSender
 	{
 	public:
@@ -107,30 +106,30 @@
 		RankControl(const RankControl&) = delete;
 		RankControl& operator=(const RankControl&) = delete;
 
-		/// Each runs on the control's thread and calls back there.
+		/// These methods run on the control's thread and call _done there.
 		void report(bool _withLoad, std::function<void(std::optional<RankReport>)> _done);
 		void stage(std::uint64_t _fence, const std::string& _map, std::function<void(bool, std::optional<RankReport>)> _done);
-		void hear(const VoteMessage& _message, std::function<void(const VoteReply&)> _done);
+		void receiveVotes(const VoteMessage& _message, std::function<void(const VoteReply&)> _done);
 
-		/// Stops the thread. No callback follows.
+		/// Stops the thread. No callback is called afterwards.
 		void stop();
 
-		/// @returns State for dumps.
+		/// @returns State of the latest proposal, for the state dump.
 		std::string describe();
 
 	private:
 		using Job = absl::AnyInvocable<void()>;
 
 		void post(Job _job);
-		void work();
+		void runThread();
 		void recover();
 		void advance();
-		void refresh();
+		void refreshState();
 		RankReport makeReport(bool _withLoad);
-		bool mustGossip();
+		bool needsGossip();
 		void gossip();
-		void tellPeer(std::uint32_t _rank);
-		void hearReply(std::uint32_t _rank, const VoteReply& _reply);
+		void sendVotes(std::uint32_t _rank);
+		void processReply(std::uint32_t _rank, const VoteReply& _reply);
 		void logOutcome();
 		VoteMessage messageFor(std::uint32_t _rank) const;
 
@@ -139,12 +138,12 @@
 		prometheus::Counter& committed;
 		prometheus::Counter& aborted;
 
-		// The thread's own:
-		MapSwitch known;
+		// Accessed only by the thread:
+		MapSwitch mapSwitch;
 		std::vector<std::string> peers;
-		std::vector<bool> peerReleased; ///< By rank: it said that it took the outcome.
+		std::vector<bool> peerReleased; ///< By rank: the peer reported that its engine applied the outcome.
 		std::uint64_t loggedNumber = 0;
-		Millis openedAt = 0;
+		Millis openedAt = 0; ///< When the proposal was received.
 		Random random;
 
 		absl::Mutex mutex;
--- a/src/agent/rank_engine.cpp
+++ b/src/agent/rank_engine.cpp
@@ -13,7 +13,7 @@
 
 		constexpr int kTimeoutSeconds = 2;
 
-		const char* nameOf(RankOrder _order)
+		const char* orderName(RankOrder _order)
 		{
 			switch (_order)
 			{
@@ -26,7 +26,7 @@
 			}
 		}
 
-		Json contextOf(const GroupProposal& _group)
+		Json encodeContext(const GroupProposal& _group)
 		{
 			const MapProposal& proposal = _group.proposal;
 			return {{"group", proposal.group}, {"number", proposal.number}, {"fence", proposal.fence}, {"formation", proposal.formation}, {"fromEpoch", proposal.fromEpoch}, {"boundary", proposal.boundary}, {"digest", proposal.digest}, {"peers", _group.peers}, {"rank", _group.rank}};
@@ -44,12 +44,12 @@
 			this->client.set_tcp_nodelay(true);
 		}
 
-		Json answer(const httplib::Result& _result)
+		Json parseResponse(const httplib::Result& _result)
 		{
 			const Json json = _result ? Json::parse(_result->body, nullptr, false) : Json();
 			if (!json.is_object())
 			{
-				throw ArchdykeError("the engine rank doesn't answer about its expert map; check that it runs");
+				throw ArchdykeError("the engine rank sent no valid response to a request for its expert map; check that the engine is running");
 			}
 			return json;
 		}
@@ -66,7 +66,7 @@
 
 	RankState RankEngine::read(std::string* _load, std::string* _armedContext, std::uint64_t* _staged)
 	{
-		const Json json = this->state->answer(this->state->client.Get(nullptr == _load ? "/map" : "/map?counts=1"));
+		const Json json = this->state->parseResponse(this->state->client.Get(nullptr == _load ? "/map" : "/map?counts=1"));
 		if (nullptr != _load)
 		{
 			*_load = Json{{"counts", json.at("counts")}, {"hosts", json.at("hosts")}}.dump();
@@ -85,15 +85,15 @@
 	bool RankEngine::stage(std::uint64_t _fence, const std::string& _map)
 	{
 		const Json order{{"order", "stage"}, {"fence", _fence}, {"map", Json::parse(_map)}};
-		return this->state->answer(this->state->client.Post("/map", order.dump(), "application/json")).at("done");
+		return this->state->parseResponse(this->state->client.Post("/map", order.dump(), "application/json")).at("done");
 	}
 
 	bool RankEngine::order(RankOrder _order, const GroupProposal& _proposal)
 	{
-		Json order = contextOf(_proposal);
+		Json order = encodeContext(_proposal);
 		order["context"] = order.dump();
-		order["order"] = nameOf(_order);
+		order["order"] = orderName(_order);
 		order["commit"] = RankOrder::Commit == _order;
-		return this->state->answer(this->state->client.Post("/map", order.dump(), "application/json")).at("done");
+		return this->state->parseResponse(this->state->client.Post("/map", order.dump(), "application/json")).at("done");
 	}
 } // namespace archdyke
--- a/src/agent/upstream_call.h
+++ b/src/agent/upstream_call.h
@@ -1,14 +1,14 @@
-/// Calls of an agent to its engine or service, by HTTP.
+/// HTTP calls of an agent to its upstream, an engine rank or a service.
 #pragma once
 
 #include "agent/agent_runs.h"
 
 namespace archdyke
 {
-	/// @returns A call with a connection of its own, for one thread.
-	/// @param[in] _onBytes Told when more of an answer is there.
+	/// @returns A call for use by one thread, with its own connection.
+	/// @param[in] _onBytes Called when more bytes of a streamed response are available.
 	UpstreamCall makeUpstreamCall(const UpstreamSettings& _settings, std::function<void(const RunKey&)> _onBytes);
 
-	/// @returns Whether the upstream takes connections.
+	/// @returns Whether the upstream responds to a health request.
 	bool probeUpstream(const UpstreamSettings& _settings);
 } // namespace archdyke
--- a/src/agent/vote_sender.cpp
+++ b/src/agent/vote_sender.cpp
@@ -6,7 +6,7 @@
 {
 	namespace
 	{
-		constexpr Millis kTimeoutMs = 500;
+		constexpr Millis kVoteTimeoutMs = 500;
 	}
 
 	struct VoteSender::Pool
@@ -35,7 +35,7 @@
 				_done(VoteReply{static_cast<ProposalRefusal>(_response.getRefusal()), readVotes(_response.getTheirs())});
 			});
 		};
-		this->pool->agents.call(_address, kTimeoutMs, request, [_done] {
+		this->pool->agents.call(_address, kVoteTimeoutMs, request, [_done] {
 			_done(std::nullopt);
 		});
 	}
--- a/src/base/address.cpp
+++ b/src/base/address.cpp
@@ -19,7 +19,7 @@
 		}
 		if (port < 0 || kMaxPort < port || 0 == colon)
 		{
-			throw InvalidInputError("address", {{"\"" + _text + "\"", "no IP and port", "write it as IP:port, for example 127.0.0.1:8080"}});
+			throw InvalidInputError("address", {{"\"" + _text + "\"", "not an IP address and port", "write it as IP:port, for example 127.0.0.1:8080"}});
 		}
 		return {_text.substr(0, colon), port};
 	}
--- a/src/base/address.h
+++ b/src/base/address.h
@@ -1,11 +1,11 @@
-/// Addresses as settings name them.
+/// IP addresses with ports, as written in settings.
 #pragma once
 
 #include <string>
 
 namespace archdyke
 {
-	/// Address as "IP:port"; port 0 lets the kernel choose.
+	/// Address "IP:port"; with port 0 the kernel chooses the port.
 	struct Address
 	{
 		std::string host;
--- a/src/base/admin.h
+++ b/src/base/admin.h
@@ -1,4 +1,4 @@
-/// The operators' HTTP address of a process: metrics, state dump, readiness, drain.
+/// HTTP endpoint of a process for operators: metrics, state dump, readiness, drain.
 #pragma once
 
 #include <functional>
@@ -10,7 +10,7 @@
 
 namespace archdyke
 {
-	/// What a process answers with.
+	/// Handlers of the admin routes.
 	struct AdminHandlers
 	{
 		std::function<nlohmann::json()> dump;
--- a/src/base/config.h
+++ b/src/base/config.h
@@ -1,5 +1,5 @@
-/// Limits and defaults, each with its unit. Every one may be overridden at build
-/// time with -DARCHDYKE_CONFIG_...=value.
+/// Limits and defaults, each with its unit. Those with a macro may be overridden at build time with
+/// -DARCHDYKE_CONFIG_...=value.
 #pragma once
 
 #include <cstddef>
@@ -23,90 +23,90 @@
 
 namespace archdyke
 {
-	/// Bytes of a caller's request body; a larger one gets 413.
+	/// Maximum size of a caller's request body, bytes; a larger one is rejected with 413.
 	constexpr std::size_t kMaxBodyBytes = ARCHDYKE_CONFIG_MAX_BODY_BYTES;
-	/// Bytes of an answer that an agent keeps for a resume.
+	/// Maximum size of a response that an agent buffers for a resume, bytes.
 	constexpr std::size_t kMaxAnswerBytes = ARCHDYKE_CONFIG_MAX_ANSWER_BYTES;
-	/// Callers' connections of one entry, each with a thread of kConnectionStackBytes.
+	/// Maximum number of callers' connections of one entry; each has a thread with a stack of kConnectionStackBytes.
 	constexpr std::size_t kMaxConnections = ARCHDYKE_CONFIG_MAX_CONNECTIONS;
 	constexpr std::size_t kConnectionStackBytes = std::size_t(256) * 1024;
 	/// Length of the listen queue, connections.
 	constexpr int kListenBacklog = 4096;
-	/// Seconds that a sender may take for the next piece of its request.
+	/// Time limit for reading the next part of a request, seconds.
 	constexpr int kCallerReadSeconds = 5;
-	/// Seconds that a caller may take to accept the next piece of its answer.
+	/// Time limit for writing the next part of a response to a caller, seconds.
 	constexpr int kCallerWriteSeconds = 10;
 
-	/// Runs that wait in one agent.
+	/// Maximum number of runs queued in one agent.
 	constexpr std::size_t kQueueRuns = ARCHDYKE_CONFIG_QUEUE_RUNS;
-	/// Runs that an agent's ledger remembers; when full, new work is refused.
+	/// Maximum number of runs in an agent's ledger; new runs are refused while it is full.
 	constexpr std::size_t kLedgerRuns = 200'000;
-	/// Longest time that a request may take, ms.
+	/// Maximum duration of a request, ms.
 	constexpr std::int64_t kMaxDeadlineMs = 120'000;
-	/// How long a finished run stays in the ledger, ms. Above kMaxDeadlineMs, so that
-	/// a revoke never meets a ledger that has forgotten its run.
+	/// How long a finished run stays in the ledger, ms. Longer than kMaxDeadlineMs, so that the ledger still holds
+	/// the run when a revoke arrives.
 	constexpr std::int64_t kLedgerKeepMs = kMaxDeadlineMs + 60'000;
-	/// How long the floor of an entry's sessions stays after its last use, ms.
+	/// How long the lowest valid session number of an entry is kept after its last use, ms.
 	constexpr std::int64_t kSessionFloorKeepMs = 3'600'000;
-	/// How long an agent goes on with a run whose entry is lost, ms.
+	/// How long an agent continues a run after the connection to its entry was lost, ms.
 	constexpr std::int64_t kOrphanKeepMs = 5'000;
 
-	/// Milliseconds between heartbeats on a quiet link, at least.
+	/// Minimum interval between heartbeats on an idle link, ms.
 	constexpr std::int64_t kHeartbeatMs = 500;
-	/// Heartbeats a second of one entry over all its links, at most. Above it the time
-	/// between them grows with the number of links.
+	/// Maximum heartbeats per second of one entry over all its links. With more links the interval between the
+	/// heartbeats of a link grows with the number of links.
 	constexpr std::int64_t kHeartbeatsPerSecond = 20;
-	/// A run that is sent on a link which was quiet for this long takes a heartbeat along, ms.
+	/// Idle time of a link after which a run sent on it is accompanied by a heartbeat, ms.
 	constexpr std::int64_t kLinkQuietMs = 200;
-	/// A link whose heartbeat isn't answered for this long is given up, ms.
+	/// Timeout of a heartbeat, after which the link is closed, ms.
 	constexpr std::int64_t kLinkTimeoutMs = 1'000;
-	/// Between tries to connect to an agent, ms.
+	/// Interval between attempts to connect to an agent, ms.
 	constexpr std::int64_t kReconnectMs = 200;
-	/// How long an entry waits for a resume of a broken stream, ms.
+	/// How long an entry waits to resume an interrupted stream, ms.
 	constexpr std::int64_t kResumeMs = 4'000;
-	/// The same while nothing has gone to the caller and another agent may run it, ms.
+	/// As kResumeMs, while nothing has been sent to the caller and another agent may run the request, ms.
 	constexpr std::int64_t kQuickResumeMs = 500;
-	/// How long an entry waits for the answer to a revoke, ms.
+	/// How long an entry waits for the response to a revoke, ms.
 	constexpr std::int64_t kRevokeMs = 2'000;
-	/// How many entries of a zone hold a link to each agent of it.
+	/// Number of entries of a zone that hold a link to each agent of the zone.
 	constexpr std::uint32_t kAgentCoverage = ARCHDYKE_CONFIG_AGENT_COVERAGE;
-	/// A zone with no more agents than this is linked to by each of its entries as a whole.
+	/// Maximum number of agents of a zone for which each entry of the zone holds links to all agents.
 	constexpr std::size_t kFullMeshAgents = 64;
-	/// Links of one entry to agents of other zones, at most.
+	/// Maximum number of links of one entry to agents of other zones.
 	constexpr std::size_t kForeignLinks = 32;
 
-	/// When to come back after a failure that says nothing better, ms.
+	/// Retry delay for a caller after a failure that implies no better one, ms.
 	constexpr std::int64_t kComeBackMs = 1'000;
 
-	/// Share of successes that may be spent on retries, and the floor per second.
+	/// Retry budget: retries per successful request, minimum retries per second, and maximum accumulated retries.
 	constexpr double kRetryShare = 0.1;
 	constexpr double kRetryFloorPerSecond = 2.0;
 	constexpr double kRetryBurst = 20.0;
-	/// Tries of one request at the most.
+	/// Maximum number of attempts of one request.
 	constexpr std::uint32_t kMaxAttempts = 4;
 
-	/// Between two looks at the configuration and the VM list, ms.
+	/// Interval between polls of the configuration and the VM list, ms.
 	constexpr std::int64_t kConfigPollMs = 250;
 	/// Time limit for a call to the platform, ms.
 	constexpr std::int64_t kPlatformTimeoutMs = 1'000;
 	/// Time limit for the claim of an idempotency key, ms.
 	constexpr std::int64_t kClaimTimeoutMs = 1'500;
-	/// Claims are gathered this long into one transaction, ms.
+	/// How long claims are collected into one transaction, ms.
 	constexpr std::int64_t kClaimBatchMs = 3;
 	/// Age after which the platform may drop a claim, seconds.
 	constexpr std::int64_t kClaimKeepSeconds = 86'400;
-	/// A claim older than this isn't dispatched on any more, ms.
+	/// Maximum age of a claim at which its request is still dispatched, ms.
 	constexpr std::int64_t kClaimFreshMs = 10'000;
 
-	/// How long a lease lasts after its last renewal, ms, by the watcher's clock.
+	/// Lease duration since the last renewal, ms, by the clock of the entry that watches the lease.
 	constexpr std::int64_t kLeaseMs = 3'000;
-	/// A holder that couldn't renew for this long stops acting, ms, by its own clock.
+	/// Time without a successful renewal after which a holder stops acting, ms, by its local clock.
 	constexpr std::int64_t kLeaseActMs = 2'000;
-	/// Entries of a zone that watch its lease and may take it.
+	/// Number of entries of a zone that watch its lease and may acquire it.
 	constexpr std::size_t kLeaseCandidates = 3;
-	/// Between renewals, ms.
+	/// Interval between renewals of a lease, ms.
 	constexpr std::int64_t kLeaseRenewMs = 700;
 
-	/// Steps between a map proposal and its boundary.
+	/// Number of steps from a map proposal to its boundary step.
 	constexpr std::uint64_t kMapMarginSteps = 60;
 } // namespace archdyke
--- a/src/base/config_rows.cpp
+++ b/src/base/config_rows.cpp
@@ -32,7 +32,7 @@
 			}
 			catch (const Json::exception& error)
 			{
-				throw PlatformError("row \"" + _row.key + "\" of the table can't be read (" + error.what() + "); look at what wrote it and correct it by hand");
+				throw PlatformError("row \"" + _row.key + "\" of the table is invalid (" + error.what() + "); find out what wrote it and correct it by hand");
 			}
 		}
 	} // namespace
--- a/src/base/config_rows.h
+++ b/src/base/config_rows.h
@@ -1,4 +1,4 @@
-/// The rows of the platform's table that hold the configuration's state.
+/// Rows of the platform's table that hold the state of the configuration.
 #pragma once
 
 #include <optional>
@@ -13,25 +13,25 @@
 	constexpr const char* kStageKey = "config/stage";
 	constexpr const char* kConfirmPrefix = "config/confirm/";
 
-	/// How long it is kept which apply made a version, seconds.
+	/// How long the row is kept that records which apply created a version, seconds.
 	constexpr std::int64_t kAcceptedKeepSeconds = 86'400;
 
-	/// @returns The key of the row that names the apply that made a version.
+	/// @returns Key of the row that records which apply created a version.
 	std::string acceptedKey(std::uint64_t _version);
 
-	/// @returns The key of a zone's confirmation.
+	/// @returns Key of the row with a zone's confirmation.
 	std::string confirmKey(const std::string& _zone);
 
 	std::string encodeHead(const HeadRow& _row);
 	std::string encodeStage(const StageRow& _row);
 	std::string encodeConfirmation(const ZoneConfirmation& _row);
 
-	/// @returns The row's content; none when the row isn't there.
-	/// @throws PlatformError When it can't be read.
+	/// @returns The row's content; none if the row doesn't exist.
+	/// @throws PlatformError If the content is invalid.
 	std::optional<HeadRow> decodeHead(const TableRow& _row);
 	std::optional<StageRow> decodeStage(const TableRow& _row);
 	std::optional<ZoneConfirmation> decodeConfirmation(const TableRow& _row);
 
-	/// @returns Name of a document in the object store.
+	/// @returns Name of a configuration document in the object store.
 	std::string objectName(const ConfigMark& _mark);
 } // namespace archdyke
--- a/src/base/daemon_main.h
+++ b/src/base/daemon_main.h
@@ -1,4 +1,4 @@
-/// What the daemons' main functions have in common.
+/// Main function shared by the daemons.
 #pragma once
 
 #include <cxxopts.hpp>
@@ -12,13 +12,13 @@
 
 namespace archdyke
 {
-	/// Reads the command line and settings, runs a process until a stop signal, stops it.
+	/// Reads the command line and the settings, runs a process until a stop signal arrives, then stops it.
 	/// @param[in] _load Reads the settings file.
-	/// @returns Exit code: 0, or 2 with a message when it can't start.
+	/// @returns Exit code: 0, or 2 with a message if the process can't start.
 	template <typename Process, typename Load>
 	int runDaemon(const std::string& _name, const std::string& _purpose, Load _load, int _argc, char** _argv)
 	{
-		constexpr int kCantStart = 2;
+		constexpr int kExitStartFailed = 2;
 		blockStopSignals();
 		try
 		{
@@ -44,7 +44,7 @@
 		catch (const std::exception& error)
 		{
 			std::cerr << _name << ": " << error.what() << "\n";
-			return kCantStart;
+			return kExitStartFailed;
 		}
 	}
 } // namespace archdyke
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -12,16 +12,16 @@
 	namespace
 	{
 		constexpr std::size_t kRefusalThreads = 4;
-		constexpr int kKeepAliveRequests = 1'000'000;
-		constexpr int kKeepAliveSeconds = 30;
+		constexpr int kMaxKeepAliveRequests = 1'000'000;
+		constexpr int kKeepAliveTimeoutSeconds = 30;
 
-		/// Set on threads that only refuse.
-		thread_local bool refusesAll = false;
+		/// Set on threads that refuse all requests.
+		thread_local bool isRefusalThread = false;
 
 		using Job = std::function<void()>;
 
-		/// One detached thread a connection. Its stack is small, so that thousands of open
-		/// streams stay within an entry VM's memory.
+		/// Runs each connection on its own detached thread. The stacks are small, so that thousands of open streams
+		/// fit into the memory of an entry VM.
 		class ConnectionThreads : public httplib::TaskQueue
 		{
 		public:
@@ -32,7 +32,7 @@
 					if (kMaxConnections <= this->count)
 					{
 						this->refusals.enqueue([job = std::move(_job)]() {
-							refusesAll = true;
+							isRefusalThread = true;
 							job();
 						});
 						return;
@@ -93,14 +93,14 @@
 
 		httplib::Server::HandlerResponse refuseWhenFull(const httplib::Request&, httplib::Response& _response)
 		{
-			if (!refusesAll)
+			if (!isRefusalThread)
 			{
 				return httplib::Server::HandlerResponse::Unhandled;
 			}
 			_response.status = 503;
 			_response.set_header("Retry-After", "1");
 			_response.set_header("X-Archdyke-Outcome", "not-run");
-			_response.set_content(R"({"error":{"message":"too many connections; come back in 1 s","outcome":"not-run"}})", "application/json");
+			_response.set_content(R"({"error":{"message":"too many connections; retry in 1 s","outcome":"not-run"}})", "application/json");
 			return httplib::Server::HandlerResponse::Handled;
 		}
 	} // namespace
@@ -115,8 +115,8 @@
 		this->server.set_payload_max_length(kMaxBodyBytes);
 		this->server.set_read_timeout(kCallerReadSeconds);
 		this->server.set_write_timeout(kCallerWriteSeconds);
-		this->server.set_keep_alive_max_count(kKeepAliveRequests);
-		this->server.set_keep_alive_timeout(kKeepAliveSeconds);
+		this->server.set_keep_alive_max_count(kMaxKeepAliveRequests);
+		this->server.set_keep_alive_timeout(kKeepAliveTimeoutSeconds);
 		this->server.set_socket_options([this](socket_t _socket) {
 			const int yes = 1;
 			setsockopt(_socket, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof(yes));
@@ -142,8 +142,8 @@
 		{
 			throw ArchdykeError("can't listen on " + toString(_address) + ": free the port or set another in the settings");
 		}
-		// The library listens with a queue of 5, which overflows in a burst of new
-		// connections; a second call only changes the length.
+		// The library listens with a queue of 5 connections, which overflows in a burst of new ones. A second call
+		// to listen only changes the queue length.
 		::listen(this->listenSocket, kListenBacklog);
 		this->thread = std::thread([this] {
 			this->server.listen_after_bind();
--- a/src/base/http_server.h
+++ b/src/base/http_server.h
@@ -1,5 +1,5 @@
-/// HTTP server with a thread of small stack for each connection, a deep listen queue,
-/// bounded memory, and a refusal at once when there are too many connections.
+/// HTTP server with one thread with a small stack per connection, a long listen queue and bounded memory.
+/// Requests on connections above the limit are refused immediately.
 #pragma once
 
 #include <atomic>
@@ -19,15 +19,15 @@
 		HttpServer(const HttpServer&) = delete;
 		HttpServer& operator=(const HttpServer&) = delete;
 
-		/// Where handlers are added, before start.
+		/// @returns The server to which handlers are added, before start.
 		httplib::Server& routes();
 
-		/// Binds and serves on threads of its own.
+		/// Binds the address and serves it on own threads.
 		/// @returns The bound address.
-		/// @throws ArchdykeError When the address can't be bound.
+		/// @throws ArchdykeError If the address can't be bound.
 		Address start(const Address& _address);
 
-		/// Stops accepting and waits for the handlers in progress.
+		/// Stops accepting connections and waits for the handlers in progress.
 		void stop();
 
 	private:
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -44,51 +44,50 @@
 			_line += '"';
 		}
 
-		/// Lines of one event that may come at once, and that come back a second. Above the
-		/// requests of a gateway on a usual day (10 a second); some 10 KB a second at most.
-		constexpr double kBurstLines = 100.0;
+		/// Rate limit of each event: maximum burst in lines, and lines per second. Above the request rate of a gateway
+		/// on a usual day (10 per second); limits the output of an event to about 10 KB per second.
+		constexpr double kMaxBurstLines = 100.0;
 		constexpr double kLinesPerSecond = 40.0;
 
-		/// What one event may still write.
+		/// Remaining rate budget of one event.
 		struct EventBudget
 		{
-			double lines = kBurstLines;
-			Millis at = 0;
-			std::uint64_t leftOut = 0;
+			double lines = kMaxBurstLines;
+			Millis refilledAt = 0;
+			std::uint64_t omitted = 0;
 		};
 
-		/// Lines that go out, by event. One for the process.
+		/// Rate-limited output of the process.
 		class Output
 		{
 		public:
-			/// @returns Lines of the event left out since its last one; none when this one has
-			/// to be left out too.
+			/// @returns Number of the event's lines omitted since its last line; none if this line must be omitted too.
 			std::optional<std::uint64_t> admit(std::string_view _event)
 			{
 				absl::MutexLock lock(&this->mutex);
 				EventBudget& budget = this->budgets[std::string(_event)];
 				const Millis now = nowMs();
-				budget.lines = std::min(kBurstLines, budget.lines + double(now - budget.at) * kLinesPerSecond / 1000.0);
-				budget.at = now;
+				budget.lines = std::min(kMaxBurstLines, budget.lines + double(now - budget.refilledAt) * kLinesPerSecond / 1000.0);
+				budget.refilledAt = now;
 				if (budget.lines < 1.0)
 				{
-					budget.leftOut += 1;
+					budget.omitted += 1;
 					return std::nullopt;
 				}
 				budget.lines -= 1.0;
-				return std::exchange(budget.leftOut, 0);
+				return std::exchange(budget.omitted, 0);
 			}
 
-			/// Writes a line unless the reader is behind: a pipe that is ready takes a line of
-			/// up to PIPE_BUF bytes without blocking.
+			/// Writes a line unless the reader is behind: a pipe that polls as writable accepts up to PIPE_BUF bytes
+			/// without blocking.
 			void put(std::string_view _event, const std::string& _line)
 			{
 				absl::MutexLock lock(&this->mutex);
 				pollfd ready{STDOUT_FILENO, POLLOUT, 0};
-				const bool taken = 1 == poll(&ready, 1, 0) && 0 != (ready.revents & POLLOUT) && 0 < ::write(STDOUT_FILENO, _line.data(), _line.size());
-				if (!taken)
+				const bool written = 1 == poll(&ready, 1, 0) && 0 != (ready.revents & POLLOUT) && 0 < ::write(STDOUT_FILENO, _line.data(), _line.size());
+				if (!written)
 				{
-					this->budgets[std::string(_event)].leftOut += 1;
+					this->budgets[std::string(_event)].omitted += 1;
 				}
 			}
 
@@ -105,8 +104,8 @@
 
 		void write(std::string_view _level, std::string_view _event, std::initializer_list<LogField> _fields)
 		{
-			const std::optional<std::uint64_t> leftOut = output().admit(_event);
-			if (!leftOut)
+			const std::optional<std::uint64_t> omitted = output().admit(_event);
+			if (!omitted)
 			{
 				return;
 			}
@@ -119,11 +118,11 @@
 				line += '=';
 				appendValue(line, field.value);
 			}
-			line += 0 < *leftOut ? fmt::format(" left_out={}\n", *leftOut) : "\n";
-			constexpr std::size_t kMaxLine = 4'000; // below PIPE_BUF
-			if (line.size() > kMaxLine)
+			line += 0 < *omitted ? fmt::format(" left_out={}\n", *omitted) : "\n";
+			constexpr std::size_t kMaxLineBytes = 4'000; // below PIPE_BUF
+			if (line.size() > kMaxLineBytes)
 			{
-				line.resize(kMaxLine);
+				line.resize(kMaxLineBytes);
 				line += " cut=true\n";
 			}
 			output().put(_event, line);
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,8 +1,8 @@
-/// Structured logs on standard output: one key=value line for each decision on a request and
-/// for each change of what the process believes.
+/// Structured logs on standard output: one line of key=value fields for each decision on a request and for each
+/// change of the process's state.
 ///
-/// Lines of one event are bounded in rate; the next line says how many were left out. A
-/// reader that doesn't read costs lines, never time.
+/// The lines of each event are rate-limited; the next line reports how many were omitted. Logging never blocks:
+/// while the reader of the output is behind, lines are dropped.
 #pragma once
 
 #include <fmt/format.h>
@@ -26,7 +26,7 @@
 		std::string value;
 	};
 
-	/// Sets the process name that every line bears.
+	/// Sets the process name that is written in each line.
 	void setLogName(const std::string& _name);
 
 	void logInfo(std::string_view _event, std::initializer_list<LogField> _fields = {});
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,4 +1,4 @@
-/// Counters and gauges of a process, served as Prometheus text.
+/// Metrics of a process, served in the Prometheus text format.
 #pragma once
 
 #include <map>
@@ -18,16 +18,16 @@
 	public:
 		Metrics();
 
-		/// @returns The counter of that name and labels; made when new. Keep the reference
-		/// where it is used often.
+		/// @returns The counter with this name and these labels, created on first use. Callers on hot paths keep the
+		/// reference.
 		prometheus::Counter& counter(const std::string& _name, const std::string& _help, const MetricLabels& _labels = {});
 
 		prometheus::Gauge& gauge(const std::string& _name, const std::string& _help, const MetricLabels& _labels = {});
 
-		/// Histogram of seconds from 0.5 ms to 60 s.
+		/// @returns A histogram of durations in seconds, with buckets from 0.5 ms to 60 s.
 		prometheus::Histogram& seconds(const std::string& _name, const std::string& _help, const MetricLabels& _labels = {});
 
-		/// @returns All of them in Prometheus text format.
+		/// @returns All metrics in the Prometheus text format.
 		std::string serialize() const;
 
 	private:
--- a/src/base/pause_guard.cpp
+++ b/src/base/pause_guard.cpp
@@ -9,15 +9,15 @@
 {
 	namespace
 	{
-		constexpr Millis kPulseMs = 100;
-		/// A gap between pulses that counts as a pause, ms.
-		constexpr Millis kPauseMs = 1'000;
+		constexpr Millis kPulseIntervalMs = 100;
+		/// Gap between pulses above which the process counts as paused, ms.
+		constexpr Millis kPauseThresholdMs = 1'000;
 	} // namespace
 
 	PauseGuard::PauseGuard()
 	    : lastPulse(nowMs())
 	    , thread([this] {
-		    this->pulse();
+		    this->runPulses();
 	    })
 	{
 	}
@@ -31,43 +31,43 @@
 		this->thread.join();
 	}
 
-	void PauseGuard::notePulse()
+	void PauseGuard::recordPulse()
 	{
 		const Millis now = nowMs();
-		if (kPauseMs < now - this->lastPulse)
+		if (kPauseThresholdMs < now - this->lastPulse)
 		{
-			this->count += 1;
+			this->pauseCount += 1;
 			logWarning("process_paused", {{"ms", now - this->lastPulse}});
 		}
 		this->lastPulse = now;
 	}
 
-	void PauseGuard::pulse()
+	void PauseGuard::runPulses()
 	{
 		absl::MutexLock lock(&this->mutex);
-		while (!this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kPulseMs)))
+		while (!this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kPulseIntervalMs)))
 		{
-			this->notePulse();
+			this->recordPulse();
 		}
 	}
 
 	std::uint64_t PauseGuard::pauses()
 	{
 		absl::MutexLock lock(&this->mutex);
-		this->notePulse();
-		return this->count;
+		this->recordPulse();
+		return this->pauseCount;
 	}
 
 	void PauseGuard::looked(std::uint64_t _pauses)
 	{
 		absl::MutexLock lock(&this->mutex);
-		this->lookedAt = _pauses;
+		this->refreshedCount = _pauses;
 	}
 
 	bool PauseGuard::isFresh()
 	{
 		absl::MutexLock lock(&this->mutex);
-		this->notePulse();
-		return this->lookedAt == this->count;
+		this->recordPulse();
+		return this->refreshedCount == this->pauseCount;
 	}
 } // namespace archdyke
--- a/src/base/pause_guard.h
+++ b/src/base/pause_guard.h
@@ -1,5 +1,5 @@
-/// Notices that the process was stopped for a while (SIGSTOP, a paused VM): what it
-/// knows may be old then, and it serves nothing until it has looked again.
+/// Detects that the process was stopped for a while (SIGSTOP, a paused VM). Its state may be stale then, and it
+/// serves nothing until it has refreshed the state.
 #pragma once
 
 #include <absl/synchronization/mutex.h>
@@ -18,23 +18,23 @@
 		PauseGuard(const PauseGuard&) = delete;
 		PauseGuard& operator=(const PauseGuard&) = delete;
 
-		/// @returns Pauses noticed so far. Read it before a look around.
+		/// @returns Number of pauses detected so far. Must be read before a refresh.
 		std::uint64_t pauses();
 
-		/// Notes a look around that began when there had been _pauses.
+		/// Records a refresh that began when _pauses pauses had been detected.
 		void looked(std::uint64_t _pauses);
 
-		/// @returns Whether the process has looked around since its last pause.
+		/// @returns Whether the state has been refreshed since the last pause.
 		bool isFresh();
 
 	private:
-		void pulse();
-		void notePulse() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
+		void runPulses();
+		void recordPulse() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex);
 
 		absl::Mutex mutex;
 		Millis lastPulse ABSL_GUARDED_BY(mutex);
-		std::uint64_t count ABSL_GUARDED_BY(mutex) = 1; ///< The start is one.
-		std::uint64_t lookedAt ABSL_GUARDED_BY(mutex) = 0;
+		std::uint64_t pauseCount ABSL_GUARDED_BY(mutex) = 1; ///< The start counts as a pause.
+		std::uint64_t refreshedCount ABSL_GUARDED_BY(mutex) = 0;
 		bool stopping ABSL_GUARDED_BY(mutex) = false;
 		std::thread thread;
 	};
--- a/src/base/platform_client.cpp
+++ b/src/base/platform_client.cpp
@@ -63,9 +63,10 @@
 			return vm;
 		}
 
-		/// Runs a reader over an answer; what can't be read is the platform's fault.
+		/// Parses a response of the platform and decodes it.
+		/// @throws PlatformError If the response is invalid.
 		template <typename Read>
-		auto readAnswer(const std::string& _body, Read _read)
+		auto decodeResponse(const std::string& _body, Read _read)
 		{
 			try
 			{
@@ -73,7 +74,7 @@
 			}
 			catch (const Json::exception& error)
 			{
-				throw PlatformError(std::string("the platform's answer can't be read: ") + error.what() + "; check that the platform address leads to the platform");
+				throw PlatformError(std::string("invalid response from the platform: ") + error.what() + "; check that the address is that of the platform");
 			}
 		}
 	} // namespace
@@ -95,15 +96,15 @@
 		{
 		}
 
-		std::string call(const char* _what, const httplib::Result& _result, const std::vector<int>& _expected, int* _status = nullptr)
+		std::string checkResponse(const char* _operation, const httplib::Result& _result, const std::vector<int>& _expected, int* _status = nullptr)
 		{
 			if (!_result)
 			{
-				throw PlatformError(std::string(_what) + ": no answer from the platform at " + toString(this->address) + " (" + httplib::to_string(_result.error()) + "); check that it is up and reachable, then try again");
+				throw PlatformError(std::string(_operation) + ": no response from the platform at " + toString(this->address) + " (" + httplib::to_string(_result.error()) + "); check that it is up and reachable, then try again");
 			}
 			if (_expected.end() == std::find(_expected.begin(), _expected.end(), _result->status))
 			{
-				throw PlatformError(std::string(_what) + ": the platform at " + toString(this->address) + " answered " + std::to_string(_result->status) + "; try again once it is well");
+				throw PlatformError(std::string(_operation) + ": the platform at " + toString(this->address) + " responded with status " + std::to_string(_result->status) + "; try again once it works again");
 			}
 			if (nullptr != _status)
 			{
@@ -135,33 +136,33 @@
 	TableResult PlatformClient::transact(const TableTransaction& _transaction)
 	{
 		int status = 0;
-		const std::string body = this->state->call("table transaction", this->state->client.Post("/table/transact", toJson(_transaction).dump(), "application/json"), {kOk, kConflict}, &status);
-		return readAnswer(body, [&](const Json& _json) {
+		const std::string body = this->state->checkResponse("table transaction", this->state->client.Post("/table/transact", toJson(_transaction).dump(), "application/json"), {kOk, kConflict}, &status);
+		return decodeResponse(body, [&](const Json& _json) {
 			return TableResult{kOk == status, readRows(_json)};
 		});
 	}
 
 	std::vector<TableRow> PlatformClient::scan(const std::string& _prefix)
 	{
-		return readAnswer(this->state->call("table scan", this->state->client.Get("/table/scan?prefix=" + httplib::detail::encode_query_param(_prefix)), {kOk}), readRows);
+		return decodeResponse(this->state->checkResponse("table scan", this->state->client.Get("/table/scan?prefix=" + httplib::detail::encode_query_param(_prefix)), {kOk}), readRows);
 	}
 
 	void PlatformClient::putObject(const std::string& _name, const std::string& _bytes)
 	{
-		this->state->call("object write", this->state->client.Put("/objects/" + _name, _bytes, "application/octet-stream"), {kOk});
+		this->state->checkResponse("object write", this->state->client.Put("/objects/" + _name, _bytes, "application/octet-stream"), {kOk});
 	}
 
 	std::optional<std::string> PlatformClient::getObject(const std::string& _name)
 	{
 		int status = 0;
-		std::string bytes = this->state->call("object read", this->state->client.Get("/objects/" + _name), {kOk, kNotFound}, &status);
+		std::string bytes = this->state->checkResponse("object read", this->state->client.Get("/objects/" + _name), {kOk, kNotFound}, &status);
 		return kOk == status ? std::optional<std::string>(std::move(bytes)) : std::nullopt;
 	}
 
 	VmChanges PlatformClient::vmsSince(std::uint64_t _revision)
 	{
 		const std::string path = "/vms?zone=" + this->state->zone + "&since=" + std::to_string(_revision);
-		return readAnswer(this->state->call("VM list", this->state->client.Get(path), {kOk}), [](const Json& _json) {
+		return decodeResponse(this->state->checkResponse("VM list", this->state->client.Get(path), {kOk}), [](const Json& _json) {
 			VmChanges changes;
 			changes.revision = _json.at("revision");
 			for (const Json& vm : _json.at("vms"))
--- a/src/base/platform_client.h
+++ b/src/base/platform_client.h
@@ -13,7 +13,7 @@
 
 namespace archdyke
 {
-	/// A row of the table. Version 0 is a row that isn't there.
+	/// Row of the table. Version 0 stands for a row that doesn't exist.
 	struct TableRow
 	{
 		std::string key;
@@ -23,7 +23,7 @@
 		bool operator==(const TableRow&) const = default;
 	};
 
-	/// A row must have this version when the transaction commits.
+	/// Condition of a transaction: the row must have this version at commit.
 	struct TableCondition
 	{
 		std::string key;
@@ -36,12 +36,12 @@
 	{
 		std::string key;
 		std::optional<std::string> value; ///< None deletes the row.
-		std::int64_t ttlSeconds = 0;      ///< 0 keeps it for good.
+		std::int64_t ttlSeconds = 0;      ///< 0: the row never expires.
 
 		bool operator==(const TableWrite&) const = default;
 	};
 
-	/// Reads, checks and writes in one step.
+	/// Reads, condition checks and writes in one atomic step.
 	struct TableTransaction
 	{
 		std::vector<std::string> reads;
@@ -54,12 +54,12 @@
 	struct TableResult
 	{
 		bool committed = false;
-		std::vector<TableRow> rows; ///< Those read; when not committed, those of failed conditions too.
+		std::vector<TableRow> rows; ///< The rows read; if not committed, the rows of failed conditions too.
 
 		bool operator==(const TableResult&) const = default;
 	};
 
-	/// @returns The row with this key; version 0 when the result hasn't got it.
+	/// @returns The row with this key; a row with version 0 if the result doesn't contain it.
 	TableRow rowOf(const TableResult& _result, const std::string& _key);
 
 	/// Role of a VM.
@@ -70,14 +70,14 @@
 		Count
 	};
 
-	/// A VM as the list shows it.
+	/// VM as reported by the VM list.
 	struct Vm
 	{
 		std::string name;
 		VmRole role = VmRole::Entry;
 		std::string zone;
 		ListState state = ListState::Live;
-		std::string rpc;   ///< Address for the processes of the system.
+		std::string rpc;   ///< Address for archdyke's other processes.
 		std::string admin; ///< Address for operators.
 
 		bool operator==(const Vm&) const = default;
@@ -92,25 +92,25 @@
 		bool operator==(const VmChanges&) const = default;
 	};
 
-	/// Not thread-safe: one for each thread. Every call ends within the time limit and
-	/// throws PlatformError when the platform can't be reached or says that it can't.
-	/// After such an error a write may or may not have taken effect.
+	/// Client of the platform. Not thread-safe: each thread needs its own. Each call ends within the timeout and throws
+	/// PlatformError if the platform is unreachable or reports a failure. After such an error a write may or may not
+	/// have taken effect.
 	class PlatformClient
 	{
 	public:
-		/// @param[in] _zone Zone of the caller, from which addresses are seen.
+		/// @param[in] _zone Zone of the caller; the VM list contains addresses as reachable from there.
 		PlatformClient(const std::string& _address, const std::string& _zone, Millis _timeoutMs);
 		~PlatformClient();
 		PlatformClient(PlatformClient&&) noexcept;
 
 		TableResult transact(const TableTransaction& _transaction);
 
-		/// @returns The rows whose keys start with the prefix.
+		/// @returns All rows whose keys start with the prefix.
 		std::vector<TableRow> scan(const std::string& _prefix);
 
 		void putObject(const std::string& _name, const std::string& _bytes);
 
-		/// @returns The object; none when there is none.
+		/// @returns The object; none if it doesn't exist.
 		std::optional<std::string> getObject(const std::string& _name);
 
 		VmChanges vmsSince(std::uint64_t _revision);
--- a/src/base/process.h
+++ b/src/base/process.h
@@ -1,4 +1,4 @@
-/// What every process needs: a clock, identities, digests, signals.
+/// Functions that each process needs: clock, random IDs, digests, signals.
 #pragma once
 
 #include <cstdint>
@@ -9,10 +9,10 @@
 
 namespace archdyke
 {
-	/// @returns Time since boot, ms. Goes on while the machine sleeps.
+	/// @returns Time since boot, ms. Includes the time during which the machine is suspended.
 	Millis nowMs();
 
-	/// @returns A random number that is not 0: an incarnation or a nonce.
+	/// @returns A random nonzero number, used as an incarnation or a nonce.
 	std::uint64_t randomId();
 
 	/// @returns 16 hex digits.
@@ -21,8 +21,7 @@
 	/// @returns SHA-256, 64 hex digits.
 	std::string sha256Hex(std::string_view _bytes);
 
-	/// Blocks SIGTERM and SIGINT for the whole process and ignores SIGPIPE. Call it
-	/// before any thread starts.
+	/// Blocks SIGTERM and SIGINT for the whole process and ignores SIGPIPE. Must be called before any thread starts.
 	void blockStopSignals();
 
 	/// Waits for SIGTERM or SIGINT.
@@ -30,6 +29,6 @@
 	int waitForStopSignal();
 
 	/// @returns The bytes of a file.
-	/// @throws InvalidInputError When it can't be read.
+	/// @throws InvalidInputError If the file can't be read.
 	std::string readFile(const std::string& _path);
 } // namespace archdyke
--- a/src/base/settings.cpp
+++ b/src/base/settings.cpp
@@ -45,14 +45,14 @@
 			settings.zone = _reader.text("zone");
 			settings.rpc = readAddress(_reader, "rpc");
 			settings.admin = readAddress(_reader, "admin");
-			bool found = false;
+			bool isFound = false;
 			_reader.object("upstream", [&](ObjectReader& _upstream) {
-				found = true;
+				isFound = true;
 				settings.upstream = readUpstream(_upstream);
 			});
-			if (!found)
+			if (!isFound)
 			{
-				_reader.problem("upstream", "nothing", "add an object with kind and address");
+				_reader.problem("upstream", "nothing", "add an object with the fields kind and address");
 			}
 			return settings;
 		});
--- a/src/base/settings.h
+++ b/src/base/settings.h
@@ -14,22 +14,22 @@
 	{
 		std::string name;
 		std::string zone;
-		std::string http;               ///< Where callers are served, IP:port.
-		std::string rpc;                ///< Where other entries are served.
-		std::string admin;              ///< Metrics, dumps, drain.
-		std::string platform;           ///< Table service, object store, VM list.
-		std::vector<std::string> peers; ///< Entries to ask while the VM list can't be had.
+		std::string http;               ///< Address for callers, IP:port.
+		std::string rpc;                ///< Address for other entries.
+		std::string admin;              ///< Address for operators: metrics, dumps, drain.
+		std::string platform;           ///< Address of the table service, object store and VM list.
+		std::vector<std::string> peers; ///< Entries to contact while the VM list is unavailable.
 
 		bool operator==(const EntrySettings&) const = default;
 	};
 
-	/// How an agent meets what it stands before.
+	/// Settings of an agent's upstream.
 	struct UpstreamSettings
 	{
 		ServiceKind kind = ServiceKind::Plain;
 		std::string address;      ///< IP:port.
-		std::uint32_t slots = 16; ///< Runs at once.
-		bool checksFence = true;  ///< The engine refuses orders with an old fence.
+		std::uint32_t slots = 16; ///< Maximum number of concurrent runs.
+		bool checksFence = true;  ///< Whether the engine refuses orders with a stale fence.
 
 		bool operator==(const UpstreamSettings&) const = default;
 	};
@@ -37,7 +37,7 @@
 	/// Settings of archdyke-agent.
 	struct AgentSettings
 	{
-		std::string name; ///< The upstream's, as in the operators' file.
+		std::string name; ///< Name of the upstream in the operators' file.
 		std::string zone;
 		std::string rpc;
 		std::string admin;
@@ -46,7 +46,7 @@
 		bool operator==(const AgentSettings&) const = default;
 	};
 
-	/// @throws InvalidInputError Listing all that is wrong.
+	/// @throws InvalidInputError Listing all problems.
 	EntrySettings loadEntrySettings(const std::string& _path);
 	AgentSettings loadAgentSettings(const std::string& _path);
 } // namespace archdyke
--- a/src/base/settings_reader.h
+++ b/src/base/settings_reader.h
@@ -1,4 +1,4 @@
-/// What the readers of all settings files share.
+/// Helpers shared by the readers of all settings files.
 #pragma once
 
 #include <string>
@@ -10,14 +10,15 @@
 
 namespace archdyke
 {
-	/// Fields that a program doesn't know.
+	/// How unknown fields are handled.
 	enum class UnknownFields
 	{
 		Refuse,
-		PassOver ///< The file is filled in by a deployment that may know more.
+		PassOver ///< The deployment may write fields that this program doesn't know.
 	};
 
-	/// Checks that a text is an address; notes the problem with its remedy otherwise.
+	/// Checks that a text is an address; reports a problem to the reader if it isn't.
+	/// @returns The text.
 	inline std::string checkAddress(ObjectReader& _reader, const std::string& _field, const std::string& _text)
 	{
 		try
@@ -39,8 +40,8 @@
 	}
 
 	/// Reads a settings file, JSON with comments.
-	/// @param[in] _read Makes the settings of an ObjectReader.
-	/// @throws InvalidInputError Listing all that is wrong.
+	/// @param[in] _read Reads the settings from an ObjectReader.
+	/// @throws InvalidInputError Listing all problems.
 	template <typename Settings, typename Read>
 	Settings loadSettings(const std::string& _path, UnknownFields _unknown, Read _read)
 	{
--- a/src/operator/apply.cpp
+++ b/src/operator/apply.cpp
@@ -15,21 +15,21 @@
 {
 	namespace
 	{
-		constexpr Millis kPollMs = 40;
+		constexpr Millis kPollIntervalMs = 40;
 		constexpr Millis kCallTimeoutMs = 2'000;
-		/// A stage that stands still for this long belongs to a dead apply, ms.
-		constexpr Millis kStageStandsMs = 8'000;
-		/// How long the outcome of a lost move is asked for, ms.
-		constexpr Millis kSettleMs = 30'000;
-		constexpr Millis kInForceWaitMs = 4'000;
+		/// Time without a change after which a stage is taken to belong to an apply that ended, ms.
+		constexpr Millis kStageTimeoutMs = 8'000;
+		/// How long the update of the head is retried while the platform doesn't respond, ms.
+		constexpr Millis kHeadUpdateTimeoutMs = 30'000;
+		constexpr Millis kInForceTimeoutMs = 4'000;
 
-		void pause(Millis _ms)
+		void sleepMs(Millis _ms)
 		{
 			absl::Notification never;
 			never.WaitForNotificationWithTimeout(absl::Milliseconds(_ms));
 		}
 
-		/// The rows as read, with their versions for the next write.
+		/// Head and stage rows as read, with their versions for conditional writes.
 		struct Rows
 		{
 			TableRow headRow;
@@ -54,37 +54,41 @@
 
 		ConflictError conflict(const ApplyOptions& _options, std::uint64_t _version)
 		{
-			return ConflictError("document \"" + _options.fileName + "\" was not applied: another apply made version " + std::to_string(_version) + "; run \"archdyke diff\" to see what changed and apply again");
+			return ConflictError("document \"" + _options.fileName + "\" was not applied: another apply created version " + std::to_string(_version) + "; run \"archdyke diff\" to see what changed and apply again");
 		}
 
-		/// Waits until no other apply is staging, or the one that does stands still.
+		/// Waits until no other apply is staging a version, or the staging apply has made no progress for
+		/// kStageTimeoutMs.
+		/// @throws ConflictError If another apply was accepted meanwhile.
 		Rows waitForStage(PlatformClient& _client, const ApplyOptions& _options, std::uint64_t _from)
 		{
 			Rows rows = readRows(_client);
 			std::uint64_t stageVersion = rows.stageRow.version;
-			Millis since = nowMs();
+			Millis changedAt = nowMs();
 			while (true)
 			{
 				if (rows.headVersion() != _from)
 				{
 					throw conflict(_options, rows.headVersion());
 				}
-				const bool open = rows.stage && rows.stage->mark.version > _from;
-				if (!open || kStageStandsMs < nowMs() - since)
+				const bool isStaging = rows.stage && rows.stage->mark.version > _from;
+				if (!isStaging || kStageTimeoutMs < nowMs() - changedAt)
 				{
 					return rows;
 				}
-				pause(kPollMs);
+				sleepMs(kPollIntervalMs);
 				rows = readRows(_client);
 				if (rows.stageRow.version != stageVersion)
 				{
 					stageVersion = rows.stageRow.version;
-					since = nowMs();
+					changedAt = nowMs();
 				}
 			}
 		}
 
-		/// @returns The rows with the stage as written.
+		/// Writes the stage row.
+		/// @returns The rows read afterwards.
+		/// @throws ConflictError If another apply wrote its stage first.
 		Rows writeStage(PlatformClient& _client, const ApplyOptions& _options, Rows _rows, const StageRow& _stage)
 		{
 			const std::uint64_t before = _rows.stageRow.version;
@@ -94,7 +98,7 @@
 			}
 			catch (const PlatformError&)
 			{
-				// The read that follows tells whether it took effect.
+				// The following read shows whether the write took effect.
 			}
 			Rows now = readRows(_client);
 			if (now.stage != _stage)
@@ -140,13 +144,13 @@
 			}
 			catch (const PlatformError&)
 			{
-				// The next apply takes it over after kStageStandsMs.
+				// The next apply replaces the stage after kStageTimeoutMs.
 			}
 		}
 
 		std::vector<std::string> waitForZones(PlatformClient& _client, const ApplyOptions& _options, const StageRow& _stage)
 		{
-			const Millis until = nowMs() + _options.waitMs;
+			const Millis deadline = nowMs() + _options.waitMs;
 			std::vector<std::string> missing;
 			do
 			{
@@ -155,21 +159,22 @@
 				{
 					return missing;
 				}
-				pause(kPollMs);
-			} while (nowMs() < until);
+				sleepMs(kPollIntervalMs);
+			} while (nowMs() < deadline);
 			return missing;
 		}
 
-		/// Moves the head; settles a lost answer by reading back.
-		void moveHead(PlatformClient& _client, const ApplyOptions& _options, const Rows& _rows, const StageRow& _stage)
+		/// Updates the head. If the response is lost, determines the outcome by reading the rows back.
+		/// @throws ConflictError, InDoubtError.
+		void updateHead(PlatformClient& _client, const ApplyOptions& _options, const Rows& _rows, const StageRow& _stage)
 		{
-			const TableTransaction move{{}, {{kHeadKey, _rows.headRow.version}, {kStageKey, _rows.stageRow.version}}, {{kHeadKey, encodeHead({_stage.mark, _stage.nonce}), 0}, {acceptedKey(_stage.mark.version), _stage.nonce, kAcceptedKeepSeconds}}};
-			const Millis until = nowMs() + kSettleMs;
+			const TableTransaction update{{}, {{kHeadKey, _rows.headRow.version}, {kStageKey, _rows.stageRow.version}}, {{kHeadKey, encodeHead({_stage.mark, _stage.nonce}), 0}, {acceptedKey(_stage.mark.version), _stage.nonce, kAcceptedKeepSeconds}}};
+			const Millis deadline = nowMs() + kHeadUpdateTimeoutMs;
 			do
 			{
 				try
 				{
-					if (_client.transact(move).committed)
+					if (_client.transact(update).committed)
 					{
 						return;
 					}
@@ -178,16 +183,16 @@
 					{
 						return;
 					}
-					// The conditions failed for good: another apply holds the stage.
+					// The conditions can no longer be met: another apply replaced the stage.
 					const Rows now = readRows(_client);
 					throw conflict(_options, std::max(now.headVersion(), now.stage ? now.stage->mark.version : 0));
 				}
 				catch (const PlatformError&)
 				{
-					pause(kPollMs);
+					sleepMs(kPollIntervalMs);
 				}
-			} while (nowMs() < until);
-			throw InDoubtError("whether version " + std::to_string(_stage.mark.version) + " was accepted isn't known: the platform doesn't answer; run \"archdyke status\" once it does");
+			} while (nowMs() < deadline);
+			throw InDoubtError("it is unknown whether version " + std::to_string(_stage.mark.version) + " was accepted, because the platform doesn't respond; run \"archdyke status\" once it does");
 		}
 
 		std::unique_ptr<httplib::Client> makeClient(const Vm& _vm)
@@ -199,37 +204,37 @@
 			return client;
 		}
 
-		bool hasInForce(const Vm& _vm, std::uint64_t _version)
+		bool isVersionInForce(const Vm& _vm, std::uint64_t _version)
 		{
 			const httplib::Result result = makeClient(_vm)->Get("/dump");
 			const nlohmann::json dump = result ? nlohmann::json::parse(result->body, nullptr, false) : nlohmann::json();
 			return dump.is_object() && dump["config"].value("version", std::uint64_t(0)) >= _version;
 		}
 
-		/// Tells the entries and watches until every one has the version in force.
-		std::vector<ZoneInForce> watchZones(const std::vector<Vm>& _vms, const ConfigMark& _mark)
+		/// Notifies the entries of the accepted version and waits until each has put it in force.
+		std::vector<ZoneInForce> waitForEntries(const std::vector<Vm>& _vms, const ConfigMark& _mark)
 		{
-			const Millis begunAt = nowMs();
-			std::vector<Vm> open;
+			const Millis startedAt = nowMs();
+			std::vector<Vm> pending;
 			std::map<std::string, Millis> zones;
 			for (const Vm& vm : _vms)
 			{
 				if (VmRole::Entry == vm.role && ListState::Live == vm.state && !vm.admin.empty())
 				{
-					open.push_back(vm);
+					pending.push_back(vm);
 					makeClient(vm)->Post("/accepted", nlohmann::json{{"version", _mark.version}, {"digest", _mark.digest}}.dump(), "application/json");
 				}
 			}
-			while (!open.empty() && nowMs() < begunAt + kInForceWaitMs)
+			while (!pending.empty() && nowMs() < startedAt + kInForceTimeoutMs)
 			{
-				std::erase_if(open, [&](const Vm& _vm) {
-					const bool there = hasInForce(_vm, _mark.version);
-					zones[_vm.zone] = there ? std::max(zones[_vm.zone], nowMs() - begunAt) : zones[_vm.zone];
-					return there;
+				std::erase_if(pending, [&](const Vm& _vm) {
+					const bool inForce = isVersionInForce(_vm, _mark.version);
+					zones[_vm.zone] = inForce ? std::max(zones[_vm.zone], nowMs() - startedAt) : zones[_vm.zone];
+					return inForce;
 				});
-				pause(open.empty() ? 0 : kPollMs);
+				sleepMs(pending.empty() ? 0 : kPollIntervalMs);
 			}
-			for (const Vm& vm : open)
+			for (const Vm& vm : pending)
 			{
 				zones[vm.zone] = -1;
 			}
@@ -255,7 +260,7 @@
 
 	ApplyResult applyDocument(const ApplyOptions& _options, const std::string& _bytes)
 	{
-		const Millis begunAt = nowMs();
+		const Millis startedAt = nowMs();
 		PlatformClient client(_options.platform, "", kCallTimeoutMs);
 		Rows rows = readRows(client);
 		const std::uint64_t from = 0 == _options.fromVersion ? rows.headVersion() : _options.fromVersion;
@@ -277,10 +282,10 @@
 			{
 				zones += (zones.empty() ? "" : ", ") + zone;
 			}
-			throw NotAcceptedError("document \"" + _options.fileName + "\" was not accepted and nothing was changed: no confirmation from " + zones + "; look at its entries with \"archdyke status\" and apply again");
+			throw NotAcceptedError("document \"" + _options.fileName + "\" was not accepted and nothing was changed: no confirmation from " + zones + "; check its entries with \"archdyke status\" and apply again");
 		}
-		moveHead(client, _options, rows, stage);
-		const Millis acceptedAfterMs = nowMs() - begunAt;
+		updateHead(client, _options, rows, stage);
+		const Millis acceptedAfterMs = nowMs() - startedAt;
 		std::vector<Vm> vms;
 		try
 		{
@@ -290,6 +295,6 @@
 		{
 			return {stage.mark, true, acceptedAfterMs, {}};
 		}
-		return {stage.mark, true, acceptedAfterMs, watchZones(vms, stage.mark)};
+		return {stage.mark, true, acceptedAfterMs, waitForEntries(vms, stage.mark)};
 	}
 } // namespace archdyke
--- a/src/operator/apply.h
+++ b/src/operator/apply.h
@@ -1,4 +1,4 @@
-/// What "archdyke apply" does: stages a version in every zone, then accepts it.
+/// Implements "archdyke apply": stages a version in every zone, then accepts it.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace archdyke
 {
-	/// A zone did not confirm in time. Nothing was changed.
+	/// Thrown if a zone did not confirm in time. Nothing was changed.
 	struct NotAcceptedError : ArchdykeError
 	{
 		using ArchdykeError::ArchdykeError;
 	};
 
-	/// Whether the version was accepted can't be known now.
+	/// Thrown if it is unknown whether the version was accepted.
 	struct InDoubtError : ArchdykeError
 	{
 		using ArchdykeError::ArchdykeError;
@@ -25,16 +25,16 @@
 	struct ApplyOptions
 	{
 		std::string platform;
-		std::string fileName;          ///< For messages.
-		std::uint64_t fromVersion = 0; ///< The file was made from this version; 0: from the one in force.
-		Millis waitMs = 5'000;         ///< For the zones' confirmations.
+		std::string fileName;          ///< Used in messages.
+		std::uint64_t fromVersion = 0; ///< Version that the file is based on; 0: the version in force.
+		Millis waitMs = 5'000;         ///< Maximum wait for the confirmations of the zones.
 	};
 
-	/// When a zone had the version in force.
+	/// How long a zone took to put the version in force.
 	struct ZoneInForce
 	{
 		std::string zone;
-		Millis afterMs = 0; ///< After acceptance; -1 while not every entry of it has.
+		Millis afterMs = 0; ///< Since acceptance; -1 if some entries of the zone have not put it in force yet.
 
 		bool operator==(const ZoneInForce&) const = default;
 	};
@@ -42,8 +42,8 @@
 	struct ApplyResult
 	{
 		ConfigMark mark;
-		bool changed = false;       ///< false: the file is in force already.
-		Millis acceptedAfterMs = 0; ///< Since the apply began.
+		bool changed = false;       ///< false if the file was already in force.
+		Millis acceptedAfterMs = 0; ///< Since the start of the apply.
 		std::vector<ZoneInForce> zones;
 
 		bool operator==(const ApplyResult&) const = default;
@@ -53,12 +53,12 @@
 	/// @throws ConflictError, NotAcceptedError, InDoubtError, PlatformError.
 	ApplyResult applyDocument(const ApplyOptions& _options, const std::string& _bytes);
 
-	/// What the table and the object store say.
+	/// Configuration published in the table and the object store.
 	struct PublishedConfig
 	{
 		std::optional<HeadRow> head;
 		std::optional<StageRow> stage;
-		std::string bytes; ///< Of the head.
+		std::string bytes; ///< Document of the head.
 	};
 
 	PublishedConfig readPublished(PlatformClient& _client);
--- a/src/operator/operator_main.cpp
+++ b/src/operator/operator_main.cpp
@@ -1,4 +1,4 @@
-/// archdyke: the operators' command.
+/// archdyke: command-line tool for operators.
 #include <cxxopts.hpp>
 #include <iostream>
 #include <map>
@@ -33,17 +33,18 @@
 
   archdyke check FILE                       check a file
   archdyke diff FILE --platform ADDRESS     show what applying it would change
-  archdyke apply FILE --platform ADDRESS    apply it as a whole
-  archdyke status --platform ADDRESS        what is in force where, who is there
-  archdyke dump ADDRESS                     state of one process (its admin address)
-  archdyke drain ADDRESS                    let one process take no new work
-  archdyke version
+  archdyke apply FILE --platform ADDRESS    apply it atomically
+  archdyke status --platform ADDRESS        show the versions in force and the state of all VMs
+  archdyke dump ADDRESS                     show the state of one process (its admin address)
+  archdyke drain ADDRESS                    make one process refuse new work
+  archdyke version                          show the version
 
 Exit codes: 0 done, 1 failed, 2 invalid input, 3 another apply came first,
-4 the platform doesn't answer, 5 not accepted and nothing changed, 6 in doubt.
+4 the platform doesn't respond, 5 not accepted and nothing changed,
+6 unknown whether accepted.
 )";
 
-		/// What the command line asks for.
+		/// Parsed command line.
 		struct Command
 		{
 			std::string verb;
@@ -64,11 +65,11 @@
 			std::cout << (_command.json ? _json.dump(1, '\t') + "\n" : _text);
 		}
 
-		std::string needPlatform(const Command& _command)
+		std::string requirePlatform(const Command& _command)
 		{
 			if (_command.platform.empty())
 			{
-				throw usageError("--platform", "nothing", "name the platform's address, or set ARCHDYKE_PLATFORM");
+				throw usageError("--platform", "nothing", "specify the platform's address, or set ARCHDYKE_PLATFORM");
 			}
 			return _command.platform;
 		}
@@ -83,7 +84,7 @@
 		int runDiff(const Command& _command)
 		{
 			const Document next = parseDocument(_command.argument, readFile(_command.argument));
-			PlatformClient client(needPlatform(_command), "", kCallTimeoutMs);
+			PlatformClient client(requirePlatform(_command), "", kCallTimeoutMs);
 			const PublishedConfig published = readPublished(client);
 			const Document current = published.head ? parseDocument("version in force", published.bytes) : Document{};
 			const std::vector<std::string> lines = diffDocuments(current, next);
@@ -101,7 +102,7 @@
 		{
 			const std::string bytes = readFile(_command.argument);
 			parseDocument(_command.argument, bytes);
-			const ApplyResult result = applyDocument({needPlatform(_command), _command.argument, _command.fromVersion, _command.waitMs}, bytes);
+			const ApplyResult result = applyDocument({requirePlatform(_command), _command.argument, _command.fromVersion, _command.waitMs}, bytes);
 			Json zones = Json::array();
 			std::string text = result.changed ? "version " + std::to_string(result.mark.version) + " accepted after " + std::to_string(result.acceptedAfterMs) + " ms\n" : "version " + std::to_string(result.mark.version) + " is in force already, nothing to change\n";
 			for (const ZoneInForce& zone : result.zones)
@@ -113,7 +114,7 @@
 			return kExitOk;
 		}
 
-		httplib::Client clientFor(const std::string& _address)
+		httplib::Client makeClient(const std::string& _address)
 		{
 			const Address address = parseAddress(_address);
 			httplib::Client client(address.host, address.port);
@@ -122,22 +123,22 @@
 			return client;
 		}
 
-		Json dumpOf(const std::string& _address)
+		Json readDump(const std::string& _address)
 		{
-			const httplib::Result result = clientFor(_address).Get("/dump");
+			const httplib::Result result = makeClient(_address).Get("/dump");
 			const Json dump = result ? Json::parse(result->body, nullptr, false) : Json();
 			return dump.is_object() ? dump : Json{{"reachable", false}};
 		}
 
 		int runStatus(const Command& _command)
 		{
-			PlatformClient client(needPlatform(_command), "", kCallTimeoutMs);
+			PlatformClient client(requirePlatform(_command), "", kCallTimeoutMs);
 			const PublishedConfig published = readPublished(client);
 			Json json{{"version", published.head ? published.head->mark.version : 0}, {"staged", published.stage ? published.stage->mark.version : 0}, {"entries", Json::array()}, {"agents", Json::array()}};
 			std::string text = "accepted version " + json["version"].dump() + "\n";
 			for (const Vm& vm : client.vmsSince(0).vms)
 			{
-				const Json dump = dumpOf(vm.admin);
+				const Json dump = readDump(vm.admin);
 				Json item{{"name", vm.name}, {"zone", vm.zone}, {"list", std::string(toString(vm.state))}, {"reachable", dump.value("reachable", true)}};
 				std::string line = "  " + vm.zone + " " + vm.name + " " + std::string(toString(vm.state));
 				if (!item["reachable"].get<bool>())
@@ -149,7 +150,7 @@
 					item["version"] = dump["config"]["version"];
 					item["ready"] = dump["ready"];
 					item["inDoubtMs"] = dump["config"]["inDoubtMs"];
-					line += " version " + item["version"].dump() + (dump["ready"].get<bool>() ? " ready" : " not ready") + (0 < dump["config"]["inDoubtMs"].get<Millis>() ? " holds a staged version whose acceptance is in doubt" : "");
+					line += " version " + item["version"].dump() + (dump["ready"].get<bool>() ? " ready" : " not ready") + (0 < dump["config"]["inDoubtMs"].get<Millis>() ? " holds a staged version that may or may not have been accepted" : "");
 				}
 				else
 				{
@@ -166,10 +167,10 @@
 
 		int runDump(const Command& _command)
 		{
-			const Json dump = dumpOf(_command.argument);
+			const Json dump = readDump(_command.argument);
 			if (!dump.value("reachable", true))
 			{
-				throw ArchdykeError("no answer from " + _command.argument + ": check that it is the admin address of a running process");
+				throw ArchdykeError("no response from " + _command.argument + ": check that it is the admin address of a running process");
 			}
 			std::cout << dump.dump(1, '\t') << "\n";
 			return kExitOk;
@@ -177,12 +178,12 @@
 
 		int runDrain(const Command& _command)
 		{
-			const httplib::Result result = clientFor(_command.argument).Post("/drain", "", "application/json");
+			const httplib::Result result = makeClient(_command.argument).Post("/drain", "", "application/json");
 			if (!result || 200 != result->status)
 			{
-				throw ArchdykeError("no answer from " + _command.argument + ": check that it is the admin address of a running process");
+				throw ArchdykeError("no response from " + _command.argument + ": check that it is the admin address of a running process");
 			}
-			print(_command, {{"draining", true}}, _command.argument + " takes no new work; what runs there ends\n");
+			print(_command, {{"draining", true}}, _command.argument + " refuses new work and finishes its runs\n");
 			return kExitOk;
 		}
 
@@ -234,7 +235,7 @@
 		template <typename Run>
 		int withExitCode(Run _run)
 		{
-			const auto tell = [](const std::exception& _error, ExitCode _code) {
+			const auto reportError = [](const std::exception& _error, ExitCode _code) {
 				std::cerr << "archdyke: " << _error.what() << "\n";
 				return int(_code);
 			};
@@ -244,27 +245,27 @@
 			}
 			catch (const InvalidInputError& error)
 			{
-				return tell(error, kExitInvalid);
+				return reportError(error, kExitInvalid);
 			}
 			catch (const ConflictError& error)
 			{
-				return tell(error, kExitConflict);
+				return reportError(error, kExitConflict);
 			}
 			catch (const PlatformError& error)
 			{
-				return tell(error, kExitPlatform);
+				return reportError(error, kExitPlatform);
 			}
 			catch (const NotAcceptedError& error)
 			{
-				return tell(error, kExitNotAccepted);
+				return reportError(error, kExitNotAccepted);
 			}
 			catch (const InDoubtError& error)
 			{
-				return tell(error, kExitInDoubt);
+				return reportError(error, kExitInDoubt);
 			}
 			catch (const std::exception& error)
 			{
-				return tell(error, kExitFailed);
+				return reportError(error, kExitFailed);
 			}
 		}
 	} // namespace
--- a/src/rpc.capnp
+++ b/src/rpc.capnp
@@ -1,25 +1,26 @@
-# The protocol between archdyke's own processes.
+# Protocol between archdyke's own processes.
 #
-# After a change run scripts/generate.sh; the generated code in src/generated
-# is committed, so that the normal build needs no generator.
+# Run scripts/generate.sh after a change. The generated code in src/generated is
+# committed, so that a normal build needs no generator.
 @0xd1a5c0f2b7e3946d;
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("archdyke::rpc");
 
-# Names one try of one request. A retry of the same request has a higher attempt.
+# Identifies one attempt of one request. A retry of the request has a higher
+# attempt number.
 struct RunKey
 {
 	requestId @0 :Text;
 	attempt @1 :UInt32;
 }
 
-# Names a connection: who sends, whom it is meant for, and the session number
-# that rises each time this entry connects again to the same agent.
+# Identifies a connection of an entry to an agent. The number increases each time
+# the entry reconnects to the same agent.
 struct Session
 {
 	entry @0 :UInt64;   # incarnation of the sending entry
-	agent @1 :UInt64;   # incarnation of the agent it is meant for
+	agent @1 :UInt64;   # incarnation of the agent that is addressed
 	number @2 :UInt64;
 }
 
@@ -28,7 +29,7 @@
 	key @0 :RunKey;
 	session @1 :Session;
 	organisation @2 :Text;
-	weight @3 :UInt32;       # share of the organisation in the queue
+	weight @3 :UInt32;       # weight of the organisation in the queue
 	budgetMs @4 :UInt32;     # time left until the caller's deadline
 	repeatable @5 :Bool;
 	method @6 :Text;
@@ -50,7 +51,7 @@
 	deadline @7;
 }
 
-# What an agent says of its load. Rides on answers and heartbeats.
+# Load of an agent, sent with responses and heartbeats.
 struct LoadReport
 {
 	running @0 :UInt32;
@@ -69,7 +70,7 @@
 	load @3 :LoadReport;
 }
 
-# A piece of an answer. offset counts bytes of the answer's body.
+# A chunk of a response. offset counts bytes of the response body.
 struct Frame
 {
 	key @0 :RunKey;
@@ -79,16 +80,16 @@
 	total @4 :UInt64;        # bytes of the whole body
 	status @5 :UInt16;       # HTTP status of the upstream, in every frame
 	contentType @6 :Text;
-	failed @7 :Bool;         # the upstream broke off; the body is not whole
+	failed @7 :Bool;         # the upstream aborted the response; the body is incomplete
 	load @8 :LoadReport;     # valid in the last frame
-	notRun @9 :Bool;         # with failed: proved that nothing reached the upstream
+	notRun @9 :Bool;         # with failed: it is proved that nothing reached the upstream
 }
 
 enum RevokeState
 {
-	notRun @0;     # proved: it did not start and never will
-	started @1;    # it started, or ran to its end
-	unknown @2;    # this incarnation can't know
+	notRun @0;     # proved: the run did not start and never will
+	started @1;    # the run started and may have ended
+	unknown @2;    # this incarnation has no record that could prove either
 }
 
 interface Sink
@@ -98,16 +99,16 @@
 
 interface Agent
 {
-	# Opens a session. Closes all older sessions of the same entry.
+	# Opens a session and closes all older sessions of the same entry.
 	hello @0 (session :Session) -> (incarnation :UInt64, load :LoadReport);
 	heartbeat @1 () -> (load :LoadReport);
 	dispatch @2 (run :RunSpec, sink :Sink) -> (verdict :Verdict);
 	revoke @3 (key :RunKey, session :Session) -> (state :RevokeState);
-	# Sends the frames of a run again from offset on.
+	# Sends the frames of a run again, starting at offset.
 	resume @4 (key :RunKey, session :Session, offset :UInt64, sink :Sink) -> (known :Bool);
 	cancel @5 (key :RunKey) -> ();
-	# The expert map. report and stage are a planner's; exchangeVotes is a planner's
-	# proposal too, and how the agents of a group hand votes on.
+	# Expert maps: planners call report and stageMap. exchangeVotes is called by planners
+	# to propose a switch, and by the agents of a group to exchange votes.
 	report @6 (withLoad :Bool) -> (report :RankReport);
 	stageMap @7 (fence :UInt64, map :Text) -> (done :Bool, report :RankReport);
 	exchangeVotes @8 (mine :MapVotes) -> (refusal :UInt16, theirs :MapVotes);
@@ -119,7 +120,7 @@
 	digest @1 :Text;
 }
 
-# What an entry says of the configuration it holds.
+# Configuration versions that an entry holds.
 struct ConfigState
 {
 	head @0 :ConfigMark;
@@ -153,15 +154,15 @@
 	boundary @5 :UInt64;     # first step that runs on the new map
 	digest @6 :UInt64;       # of the new map
 	peers @7 :List(Text);    # addresses of the group's agents, by rank
-	rank @8 :UInt32;         # of the agent that gets this
+	rank @8 :UInt32;         # of the receiving agent
 }
 
-# Votes by rank, as far as the sender knows.
+# Votes by rank, as known to the sender.
 struct MapVotes
 {
 	proposal @0 :MapProposal;
 	votes @1 :List(MapVote);
-	released @2 :Bool;       # the sender's engine took the outcome
+	released @2 :Bool;       # the sender's engine has applied the outcome
 }
 
 struct RankReport
@@ -169,9 +170,9 @@
 	formation @0 :UInt64;
 	epoch @1 :UInt64;
 	step @2 :UInt64;
-	pending @3 :Bool;        # a proposal is open, or its outcome not yet taken
+	pending @3 :Bool;        # a proposal is open, or its outcome has not been applied
 	highestFence @4 :UInt64;
 	staged @5 :UInt64;       # digest of the staged map
 	load @6 :Text;           # JSON, on request: token counts and hosts by layer and expert
-	lastNumber @7 :UInt64;   # of the latest proposal that is known
+	lastNumber @7 :UInt64;   # number of the latest known proposal
 }
