--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -51,7 +51,7 @@
 	'if (_exchange.request.repeatable || _exchange.caller.idempotencyKey.empty())' 'if (true)'
 mutant retry-whatever-is-proved "retry_.*|outcome_seeded_faults_at_random_moments|outcome_frozen_and_killed_agents_are_never_told_as_not_run" src/decide/retry.cpp \
 	'const bool mayRepeat = ExecutionProof::NotRun == _try.proof || _try.repeatable;' 'const bool mayRepeat = true;'
-mutant commit-on-own-vote "mapswitch_.*|map_agents_killed_in_a_switch_find_their_vote_again|map_frozen_and_cut_agents_hold_the_group_together" src/decide/mapswitch.cpp \
+mutant commit-on-own-vote "mapswitch_.*|map_agents_killed_in_a_switch_recover_their_vote|map_frozen_and_cut_agents_keep_the_group_on_one_map" src/decide/mapswitch.cpp \
 	'const bool all = !_switch.votes.empty() && std::all_of(_switch.votes.begin(), _switch.votes.end(), is(MapVote::Yes));' 'const bool all = !_switch.votes.empty() && MapVote::Yes == _switch.votes[_switch.rank];'
 mutant head-moves-first "config_a_zone_cut_from_the_platform_learns_from_its_peers|config_a_zone_cut_from_all_serves_and_is_waited_for" src/operator/apply.cpp \
 	'const std::vector<std::string> missing = waitForZones(client, _options, stage);' 'const std::vector<std::string> missing;
@@ -114,9 +114,9 @@
 	'if (!isWriteDue(record, now) ||' 'if (true ||'
 mutant gateway-clears-nobody-of-crashes "gateway_bystanders_of_crashes_are_served_and_cleared" src/gateway/crashes.cpp \
 	'recordCompletion(record.runs, hashOf(_context), nowMs());' 'return;'
-mutant deadline-by-one-timer "suspend_a_request_whose_deadline_passes_in_a_sleep_ends_when_the_machine_wakes" src/gateway/request.cpp \
+mutant deadline-by-one-timer "suspend_a_request_whose_deadline_passes_in_a_suspension_ends_when_the_machine_resumes" src/gateway/request.cpp \
 	'std::clamp<Millis>(_moment - nowMs(), 1, kPollIntervalMs)' 'std::max<Millis>(_moment - nowMs(), 1)'
-mutant clock-that-sleeps "suspend_keys_hold_no_longer_after_a_sleep" src/base/process.cpp \
+mutant clock-that-sleeps "suspend_keys_expire_on_time_after_a_suspension" src/base/process.cpp \
 	'CLOCK_BOOTTIME' 'CLOCK_MONOTONIC'
 mutant soak-sends-to-leaving-upstreams "soak_.*" src/gateway/board.cpp \
 	'return !_upstream.leavingSince && !_upstream.superseded;' 'return !_upstream.superseded;'
--- a/tests/suspend.h
+++ b/tests/suspend.h
@@ -1,4 +1,4 @@
-/// Processes that a test can suspend as a machine does: they stand still, and their steady clock leaves that time out.
+/// Processes that a test can suspend like a machine: they are stopped, and their steady clock doesn't count that time.
 #pragma once
 
 #include <criterion/criterion.h>
@@ -13,7 +13,7 @@
 
 namespace archdyke::tests
 {
-	/// The clock of the processes that are started under it.
+	/// Controls the steady clock of the processes that it starts.
 	class SuspendableClock
 	{
 	public:
@@ -22,7 +22,7 @@
 		{
 		}
 
-		/// Starts processes; what is started in there can be suspended.
+		/// Calls _start; the processes that it starts can be suspended.
 		void start(const std::function<void()>& _start) const
 		{
 			setenv("LD_PRELOAD", ARCHDYKE_SUSPEND_CLOCK, 1); // NOLINT(concurrency-mt-unsafe): no other thread yet
@@ -32,27 +32,27 @@
 			unsetenv("ARCHDYKE_TEST_SUSPENDED");
 		}
 
-		/// Suspends a process for a time, while something else goes on.
+		/// Suspends a process for at least _ms and calls _meanwhile during the suspension.
 		void suspend(lab::ChildProcess& _process, Millis _ms, const std::function<void()>& _meanwhile)
 		{
 			constexpr Millis kRoundingMs = 2; // a steady clock never goes back
 			_process.signal(SIGSTOP);
-			cr_assert(lab::waitUntil(kStopMs, [&] {
+			cr_assert(lab::waitUntil(kStopTimeoutMs, [&] {
 				return isStopped(_process.id());
 			}));
 			const Millis since = nowMs();
 			_meanwhile();
 			lab::pauseMs(std::max<Millis>(0, since + _ms - nowMs()));
-			Millis& suspendedMs = this->suspended[_process.id()];
+			Millis& suspendedMs = this->suspendedMsByProcess[_process.id()];
 			suspendedMs += nowMs() - since - kRoundingMs;
 			std::ofstream(this->path + std::to_string(_process.id())) << suspendedMs << std::flush;
 			_process.signal(SIGCONT);
 		}
 
 	private:
-		static constexpr Millis kStopMs = 5'000;
+		static constexpr Millis kStopTimeoutMs = 5'000;
 
-		/// @returns Whether a process stands still: a signal takes a moment.
+		/// @returns Whether a process is stopped, as SIGSTOP takes effect with a delay.
 		static bool isStopped(pid_t _process)
 		{
 			std::ifstream file("/proc/" + std::to_string(_process) + "/stat");
@@ -63,6 +63,6 @@
 		}
 
 		const std::string path;
-		std::map<pid_t, Millis> suspended; ///< So far, by process.
+		std::map<pid_t, Millis> suspendedMsByProcess; ///< Total suspended time by process, ms.
 	};
 } // namespace archdyke::tests
--- a/tests/suspend_clock.cpp
+++ b/tests/suspend_clock.cpp
@@ -1,6 +1,6 @@
-/// Preloaded into a process of a test: the steady clock leaves out the time in which the test has suspended it, as on a
-/// machine that sleeps. CLOCK_BOOTTIME and the time of day go on. Left out is what the file named by
-/// ARCHDYKE_TEST_SUSPENDED and the process's id holds, ms; it may come up later.
+/// Preloaded into a process of a test: its steady clock doesn't count the time for which the test suspended it, as on a
+/// suspended machine. CLOCK_BOOTTIME and the time of day are unchanged. The time to subtract, in ms, is read from the
+/// file whose name is ARCHDYKE_TEST_SUSPENDED followed by the process ID; the file may be created later.
 #include <cstdlib>
 #include <ctime>
 #include <fcntl.h>
--- a/tests/test_back_off_agent.cpp
+++ b/tests/test_back_off_agent.cpp
@@ -1,4 +1,4 @@
-/// An agent before a service that turns calls away and says for how long, as processes.
+/// Processes: an agent in front of a service that rejects requests with a back-off duration.
 #include "office.h"
 
 using namespace archdyke;
@@ -19,15 +19,15 @@
 		std::abort();
 	}
 
-	int turnedAway(const lab::UpstreamStub& _stub)
+	int rejectedCalls(const lab::UpstreamStub& _stub)
 	{
 		return lab::sendJson(_stub.address, "GET", "/record")["turnedAway"].get<int>();
 	}
 } // namespace
 
-/// A service turned calls away with 503 and asked for three seconds without them. Its agent went on sending it all that
-/// came, and handed each 503 on as the service's answer, though the same service in the other zone took work: of a
-/// service's answer it kept status and body, and 100 of 200 calls were turned away in a second.
+/// Guards against an agent that ignores the Retry-After of a 503. The agent kept only status and body of a response, so
+/// it went on sending all requests to a service that had asked for three seconds without them, and forwarded each 503,
+/// though the same service in the other zone accepted requests: 100 of 200 calls were rejected in a second.
 Test(backoffagent, a_service_that_asks_to_be_sent_nothing_gets_no_more_than_what_is_under_way)
 {
 	lab::Office office(smallOffice());
@@ -35,7 +35,7 @@
 	const lab::UpstreamStub& stub = shopStub(office);
 	lab::sendJson(stub.address, "POST", "/control", {{"restS", 3.0}});
 	const lab::LoadOptions load = loadOn(office);
-	constexpr int kCalls = 200; // one after the other, over half a second and more
+	constexpr int kCalls = 200; // sequential, over more than half a second
 	int served = 0;
 	for (int call = 0; call < kCalls; ++call)
 	{
@@ -44,7 +44,7 @@
 		served += 200 == lab::sendCall(load, lab::CallKind::Lookup, token, entry, "alpha").status ? 1 : 0;
 		lab::pauseMs(5);
 	}
-	// One is under way at a time: it is turned away, and the agent knows.
-	cr_assert(1 == turnedAway(stub), "%d of %d calls turned away", turnedAway(stub), kCalls);
+	// One call is in flight at a time: only the first is rejected, then the agent knows of the back-off.
+	cr_assert(1 == rejectedCalls(stub), "%d of %d calls rejected", rejectedCalls(stub), kCalls);
 	cr_assert(kCalls - 1 <= served, "%d of %d served", served, kCalls);
 }
--- a/tests/test_crash_agent.cpp
+++ b/tests/test_crash_agent.cpp
@@ -1,4 +1,4 @@
-/// Entries and agents before services that end under a call, as processes.
+/// Processes: entries and agents in front of services that a call crashes.
 #include "office.h"
 
 using namespace archdyke;
@@ -7,33 +7,34 @@
 namespace
 {
 	constexpr std::size_t kCrashes = 3;
-	constexpr Millis kUpMs = 2'500; ///< Until agents have seen that their services are back.
+	constexpr Millis kRecoveryMs = 2'500; ///< Time until agents have detected that their services are reachable again.
 
-	/// Sends a call that ends services through one of the entries after the other.
-	/// @returns How many services ended.
-	std::size_t sendAll(lab::Office& _office, int _calls)
+	/// Sends a call that crashes services through the entries in turn.
+	/// @returns Number of services that crashed.
+	std::size_t sendCrashingCalls(lab::Office& _office, int _calls)
 	{
 		const lab::LoadOptions load = loadOn(_office);
-		std::size_t ended = 0;
+		std::size_t crashed = 0;
 		for (int call = 0; call < _calls; ++call)
 		{
 			lab::sendCall(load, lab::CallKind::Lookup, "crash-it", load.entries[std::size_t(call) % load.entries.size()], "alpha");
 			lab::pauseMs(300);
-			ended += _office.reviveStubs();
-			lab::pauseMs(kUpMs);
+			crashed += _office.reviveStubs();
+			lab::pauseMs(kRecoveryMs);
 		}
-		return ended;
+		return crashed;
 	}
 } // namespace
 
-/// A call ended each service that began to run it, and its caller sent it again through both entries. An entry sends a call
-/// that may be repeated to the next agent, and so does the other one, whatever ended before.
+/// Guards against a call that crashes one service after another. The call crashes each service that runs it, and its
+/// caller retries it through both entries; each entry resends a repeatable call to the next agent, however many services
+/// it crashed before.
 Test(crashagent, a_call_that_ended_three_services_reaches_no_more)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	const std::size_t first = sendAll(office, 3);
-	cr_assert(kCrashes <= first, "%zu ended", first);
-	const std::size_t more = sendAll(office, 4);
-	cr_assert(0 == more, "%zu more services ended after the first %zu", more, first);
+	const std::size_t first = sendCrashingCalls(office, 3);
+	cr_assert(kCrashes <= first, "%zu crashed", first);
+	const std::size_t more = sendCrashingCalls(office, 4);
+	cr_assert(0 == more, "%zu more services crashed after the first %zu", more, first);
 }
--- a/tests/test_leaving.cpp
+++ b/tests/test_leaving.cpp
@@ -1,4 +1,4 @@
-/// An upstream that leaves gets no new work; a planned stop cuts off nothing.
+/// A leaving upstream gets no new requests, and a planned stop interrupts no request.
 #include <algorithm>
 #include <thread>
 
@@ -9,8 +9,9 @@
 
 namespace
 {
-	/// Sends calls until told to stop; the upstreams that got one after a time.
-	std::map<std::string, int> upstreamsOf(lab::Office& _office, std::uint32_t _calls)
+	/// Sends _calls requests.
+	/// @returns Number of requests by the upstream that ran them.
+	std::map<std::string, int> countRunsByUpstream(lab::Office& _office, std::uint32_t _calls)
 	{
 		lab::LoadOptions load = loadOn(_office);
 		load.requests = _calls;
@@ -36,7 +37,7 @@
 		const bool busy = lab::waitUntil(10'000, [&] {
 			return 80 <= _office.runs().size();
 		});
-		cr_assert(busy, "the load did not get going");
+		cr_assert(busy, "the load did not reach 80 runs");
 		_do();
 		thread.join();
 		return result;
@@ -44,11 +45,11 @@
 
 	void expectCleanExit(lab::Daemon& _daemon)
 	{
-		cr_assert(0 == _daemon.process->waitForExit(20'000), "%s did not stop in order", _daemon.name.c_str());
+		cr_assert(0 == _daemon.process->waitForExit(20'000), "%s did not exit with code 0", _daemon.name.c_str());
 	}
 } // namespace
 
-Test(leaving, the_vm_list_takes_work_away)
+Test(leaving, an_agent_listed_as_leaving_gets_no_work)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
@@ -67,7 +68,7 @@
 		}
 		return true;
 	}));
-	cr_assert(0 == upstreamsOf(office, 100)["shop-1"]);
+	cr_assert(0 == countRunsByUpstream(office, 100)["shop-1"]);
 }
 
 Test(leaving, a_draining_agent_refuses_whatever_the_entries_know)
@@ -76,8 +77,8 @@
 	makeReady(office);
 	office.platformFaults({{"outage", true}});
 	cr_assert(0 == office.command({"drain", office.agent("shop-2").admin}).exitCode);
-	// No entry has heard yet: the agent's own refusal keeps the work away.
-	const std::map<std::string, int> after = upstreamsOf(office, 100);
+	// During the outage no entry learns of it from the VM list: only the agent's own refusals keep requests away.
+	const std::map<std::string, int> after = countRunsByUpstream(office, 100);
 	cr_assert(!after.contains("shop-2"), "a draining agent got %d calls", after.at("shop-2"));
 }
 
@@ -87,7 +88,7 @@
 	makeReady(office);
 	office.announce(office.agent("shop-1"), "leaving");
 	cr_assert(lab::waitUntil(3'000, [&] {
-		return 0 == upstreamsOf(office, 20)["shop-1"];
+		return 0 == countRunsByUpstream(office, 20)["shop-1"];
 	}));
 	office.announce(office.agent("shop-1"), "live");
 	cr_assert(lab::waitUntil(5'000, [&] {
@@ -96,11 +97,11 @@
 			return "shop-1" == _agent["name"] && "live" == _agent["list"];
 		});
 	}));
-	cr_assert(0 == upstreamsOf(office, 60)["shop-1"]);
+	cr_assert(0 == countRunsByUpstream(office, 60)["shop-1"]);
 	office.agent("shop-1").process->kill();
 	office.restart(office.agent("shop-1"));
 	cr_assert(lab::waitUntil(10'000, [&] {
-		          return 0 < upstreamsOf(office, 20)["shop-1"];
+		          return 0 < countRunsByUpstream(office, 20)["shop-1"];
 	          }),
 	          "a new incarnation gets no work");
 }
--- a/tests/test_map.cpp
+++ b/tests/test_map.cpp
@@ -1,5 +1,5 @@
-/// One map in every step: real agents, planners and engine ranks under faults. The engines'
-/// own record of steps on different maps judges.
+/// All ranks of a group use one expert map in every step. Runs real agents and planners with engine stubs under
+/// faults; the engine stubs record steps in which ranks used different maps.
 #include <thread>
 
 #include "archdyke/random.h"
@@ -10,7 +10,7 @@
 
 namespace
 {
-	/// Load on all entries until it goes out of scope.
+	/// Sends requests to all entries until destroyed.
 	class BackgroundLoad
 	{
 	public:
@@ -48,8 +48,8 @@
 		std::thread thread;
 	};
 
-	/// Lets another pair of experts be the popular one.
-	void drift(lab::Office& _office, int _round)
+	/// Makes another pair of experts the popular one.
+	void shiftPopularity(lab::Office& _office, int _round)
 	{
 		std::vector<double> popularity(8, 1.0);
 		popularity[std::size_t(2 * _round) % 8] = 12.0;
@@ -57,7 +57,7 @@
 		_office.controlEngines({{"popularity", popularity}});
 	}
 
-	std::uint64_t epochsSum(lab::Office& _office)
+	std::uint64_t sumOfEpochs(lab::Office& _office)
 	{
 		std::uint64_t sum = 0;
 		for (const nlohmann::json& record : _office.engineRecords())
@@ -69,13 +69,13 @@
 
 	bool waitSwitches(lab::Office& _office, std::uint64_t _more, Millis _timeoutMs = 15'000)
 	{
-		const std::uint64_t before = epochsSum(_office);
+		const std::uint64_t before = sumOfEpochs(_office);
 		return lab::waitUntil(_timeoutMs, [&] {
-			return before + _more <= epochsSum(_office);
+			return before + _more <= sumOfEpochs(_office);
 		});
 	}
 
-	void expectOneMap(lab::Office& _office)
+	void expectOneMapInEachStep(lab::Office& _office)
 	{
 		cr_assert(_office.waitMapsSettled(20'000), "the groups did not settle on one map");
 		for (const nlohmann::json& record : _office.engineRecords())
@@ -84,7 +84,7 @@
 		}
 	}
 
-	/// @returns The entry that plans for a zone.
+	/// @returns The entry that is the planner of a zone.
 	lab::Daemon& plannerOf(lab::Office& _office, const std::string& _zone)
 	{
 		lab::Daemon* found = nullptr;
@@ -96,7 +96,7 @@
 			}
 			return nullptr != found;
 		});
-		cr_assert(nullptr != found, "nobody plans");
+		cr_assert(nullptr != found, "the zone has no planner");
 		return *found;
 	}
 } // namespace
@@ -106,17 +106,17 @@
 	lab::Office office(smallOffice());
 	makeReady(office);
 	BackgroundLoad load(office);
-	drift(office, 0);
+	shiftPopularity(office, 0);
 	cr_assert(waitSwitches(office, 2));
-	drift(office, 1);
+	shiftPopularity(office, 1);
 	cr_assert(waitSwitches(office, 2));
 	const lab::LoadResult result = load.finish();
-	expectOneMap(office);
+	expectOneMapInEachStep(office);
 	expectNoViolation(lab::judge(result, office.runs()));
 	cr_assert(lab::figuresOf(result).whole == lab::figuresOf(result).calls);
 }
 
-Test(map, agents_killed_in_a_switch_find_their_vote_again)
+Test(map, agents_killed_in_a_switch_recover_their_vote)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
@@ -124,17 +124,17 @@
 	Random random(7);
 	for (int round = 0; round < 4; ++round)
 	{
-		drift(office, round);
+		shiftPopularity(office, round);
 		lab::pauseMs(Millis(randomBelow(random, 1'500)));
 		lab::Daemon& agent = office.agent("chat-" + std::to_string(1 + randomBelow(random, 2)));
 		agent.process->kill();
 		office.restart(agent);
 	}
 	load.finish();
-	expectOneMap(office);
+	expectOneMapInEachStep(office);
 }
 
-Test(map, frozen_and_cut_agents_hold_the_group_together)
+Test(map, frozen_and_cut_agents_keep_the_group_on_one_map)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
@@ -142,7 +142,7 @@
 	Random random(8);
 	for (int round = 0; round < 4; ++round)
 	{
-		drift(office, round);
+		shiftPopularity(office, round);
 		lab::pauseMs(Millis(randomBelow(random, 1'200)));
 		const std::string name = "chat-" + std::to_string(1 + randomBelow(random, 2));
 		const bool cut = 0 == randomBelow(random, 2);
@@ -152,7 +152,7 @@
 		office.agent(name).process->signal(SIGCONT);
 	}
 	load.finish();
-	expectOneMap(office);
+	expectOneMapInEachStep(office);
 }
 
 Test(map, a_platform_outage_stops_no_open_switch)
@@ -161,25 +161,25 @@
 	makeReady(office);
 	BackgroundLoad load(office);
 	plannerOf(office, "north");
-	drift(office, 0);
-	// The outage falls somewhere between proposal and outcome of a switch, or before it.
+	shiftPopularity(office, 0);
+	// The outage starts between the proposal and the outcome of a switch, or before the switch.
 	const bool proposed = lab::waitUntil(15'000, [&] {
 		return std::string::npos != office.entries()[0]->process->log().find("event=map_proposed");
 	});
 	office.platformFaults({{"outage", true}});
 	cr_assert(proposed);
-	expectOneMap(office);
+	expectOneMapInEachStep(office);
 	office.platformFaults({{"outage", false}});
-	drift(office, 1);
+	shiftPopularity(office, 1);
 	cr_assert(waitSwitches(office, 1, 20'000));
 	load.finish();
-	expectOneMap(office);
+	expectOneMapInEachStep(office);
 }
 
 namespace
 {
-	/// A planner that sleeps past its lease and wakes up goes on with an old fence.
-	void pausePlanner(bool _checksFence)
+	/// Suspends a planner beyond its lease; after it resumes it acts with an old fence.
+	void testPausedPlanner(bool _checksFence)
 	{
 		lab::OfficeOptions options = smallOffice(2);
 		options.engine = {{"checksFence", _checksFence}};
@@ -187,11 +187,11 @@
 		makeReady(office);
 		BackgroundLoad load(office);
 		lab::Daemon& first = plannerOf(office, "north");
-		drift(office, 0);
+		shiftPopularity(office, 0);
 		cr_assert(waitSwitches(office, 1));
-		drift(office, 1);
+		shiftPopularity(office, 1);
 		first.process->signal(SIGSTOP);
-		const bool moved = lab::waitUntil(15'000, [&] {
+		const bool tookOver = lab::waitUntil(15'000, [&] {
 			for (const std::unique_ptr<lab::Daemon>& entry : office.entries())
 			{
 				if ("north" == entry->zone && entry.get() != &first && office.dump(*entry)["planner"].get<bool>())
@@ -201,21 +201,21 @@
 			}
 			return false;
 		});
-		cr_assert(moved, "nobody took the lease over");
-		drift(office, 2);
+		cr_assert(tookOver, "no other entry took over the lease");
+		shiftPopularity(office, 2);
 		first.process->signal(SIGCONT);
 		cr_assert(waitSwitches(office, 2));
 		load.finish();
-		expectOneMap(office);
+		expectOneMapInEachStep(office);
 	}
 } // namespace
 
 Test(map, a_planner_paused_past_its_lease_does_no_harm)
 {
-	pausePlanner(true);
+	testPausedPlanner(true);
 }
 
-Test(map, nor_before_engines_that_check_no_fence)
+Test(map, a_paused_planner_does_no_harm_to_engines_that_check_no_fence)
 {
-	pausePlanner(false);
+	testPausedPlanner(false);
 }
--- a/tests/test_platform.cpp
+++ b/tests/test_platform.cpp
@@ -1,4 +1,4 @@
-/// The adapter: what the platform's wire says, decoded into archdyke's types and back.
+/// Platform adapter: decodes the platform's wire format into archdyke's types and encodes it.
 #include "archdyke/errors.h"
 #include "codec.h"
 #include "documents.h"
@@ -15,13 +15,13 @@
 {
 	using Json = nlohmann::json;
 
-	/// A row as an upstream writes it.
+	/// @returns A valid row as written by an upstream.
 	Json upstreamRow()
 	{
 		return {{"service", "s"}, {"address", "10.0.0.9:80"}, {"zone", "z"}, {"version", "v1"}, {"slots", 12}, {"state", "ready"}, {"coldLeftMs", 2'500.5}, {"seq", 4}, {"born", 1'764'720'000'123}};
 	}
 
-	bool namesNone(const Json& _row, const std::string& _key = "i-1")
+	bool isRejected(const Json& _row, const std::string& _key = "i-1")
 	{
 		try
 		{
@@ -34,7 +34,7 @@
 		}
 	}
 
-	/// A row with one field of another writer's.
+	/// @returns A valid row with one field replaced.
 	Json with(const char* _field, Json _value)
 	{
 		Json row = upstreamRow();
@@ -49,12 +49,12 @@
 		return row;
 	}
 
-	/// A value that nobody expects, or one that nearly fits.
-	rc::Gen<Json> foreignValue()
+	/// Generates unexpected values and values that are almost valid.
+	rc::Gen<Json> unexpectedValue()
 	{
-		return rc::gen::map(rc::gen::pair(rc::gen::inRange(0, 10), rc::gen::arbitrary<std::int64_t>()), [](const std::pair<int, std::int64_t>& _draw) {
-			const std::vector<Json> values{Json(), Json(true), Json::array({1}), Json::object(), Json(_draw.second), Json(double(_draw.second) / 3.0), Json(std::to_string(_draw.second)), Json("10.0.0.9:" + std::to_string(_draw.second % 100'000)), Json(std::string("10.0.0.9\0:80", 12)), Json("draining")};
-			return values[std::size_t(_draw.first)];
+		return rc::gen::map(rc::gen::pair(rc::gen::inRange(0, 10), rc::gen::arbitrary<std::int64_t>()), [](const std::pair<int, std::int64_t>& _random) {
+			const std::vector<Json> values{Json(), Json(true), Json::array({1}), Json::object(), Json(_random.second), Json(double(_random.second) / 3.0), Json(std::to_string(_random.second)), Json("10.0.0.9:" + std::to_string(_random.second % 100'000)), Json(std::string("10.0.0.9\0:80", 12)), Json("draining")};
+			return values[std::size_t(_random.first)];
 		});
 	}
 
@@ -98,7 +98,7 @@
 	cr_assert(head.method == "POST" && head.target == "/x/y?z=1");
 }
 
-Test(platform, an_answer_tells_what_is_proved)
+Test(platform, a_response_states_what_is_proved)
 {
 	const gateway::Codec codec = platform::makeCodec();
 	http::ResponseHead head{503, {}, true};
@@ -112,25 +112,25 @@
 	cr_assert(codec.decodeAnswer({421, {}, true}).wrongIncarnation);
 }
 
-Test(platform, an_answer_tells_what_its_upstream_says_of_itself)
+Test(platform, a_response_states_its_upstreams_back_off_and_leaving)
 {
 	const gateway::Codec codec = platform::makeCodec();
-	const auto asked = [&](int _status, const char* _text) {
+	const auto requestedBackOffMs = [&](int _status, const char* _text) {
 		http::ResponseHead head{_status, {}, true};
 		head.headers.add("Retry-After", _text);
 		return codec.decodeAnswer(head).backOffMs;
 	};
-	cr_assert(3'000 == asked(503, "3") && 250 == asked(503, "0.25") && 0 == asked(503, "0"));
-	cr_assert(!asked(503, "soon") && !asked(503, "-1") && !asked(503, "nan") && !asked(503, ""));
-	cr_assert(asked(503, "1e300"), "beyond all days, but a number");
-	cr_assert(!asked(429, "3") && !asked(200, "3"), "spoken to one caller");
+	cr_assert(3'000 == requestedBackOffMs(503, "3") && 250 == requestedBackOffMs(503, "0.25") && 0 == requestedBackOffMs(503, "0"));
+	cr_assert(!requestedBackOffMs(503, "soon") && !requestedBackOffMs(503, "-1") && !requestedBackOffMs(503, "nan") && !requestedBackOffMs(503, ""));
+	cr_assert(requestedBackOffMs(503, "1e300"), "longer than any back-off, but a valid number");
+	cr_assert(!requestedBackOffMs(429, "3") && !requestedBackOffMs(200, "3"), "applies to one caller only");
 	http::ResponseHead head{200, {}, true};
 	cr_assert(!codec.decodeAnswer(head).leaving);
 	head.headers.add("Server-Leaving", "1");
 	cr_assert(codec.decodeAnswer(head).leaving);
 }
 
-Test(platform, a_refusal_says_when_to_come_back)
+Test(platform, a_refusal_states_the_retry_delay)
 {
 	const gateway::Codec codec = platform::makeCodec();
 	const http::ResponseHead head = codec.encodeRefusal(codec.decodeRequest(callerHead()), {503, 1'250, "overloaded"});
@@ -169,48 +169,48 @@
 	cr_assert(codec.isAccepted(202) && codec.isAccepted(200) && !codec.isAccepted(409));
 }
 
-Test(platform, a_row_says_when_its_upstream_started_and_how_long_it_is_cold)
+Test(platform, a_row_states_start_time_and_remaining_cold_time)
 {
 	const UpstreamRecord record = platform::decodeUpstream("i-1", upstreamRow().dump());
 	cr_assert(1'764'720'000'123 == record.startedAt && 2'500 == record.coldForMs && !record.leaving);
 	cr_assert(platform::decodeUpstream("i-1", with("state", "draining").dump()).leaving);
-	cr_assert(0 == platform::decodeUpstream("i-1", without("born").dump()).startedAt, "those before it don't say");
+	cr_assert(0 == platform::decodeUpstream("i-1", without("born").dump()).startedAt, "rows of older versions have no start time");
 	cr_assert(!platform::decodeUpstream("i-1", without("coldLeftMs").dump()).coldForMs);
-	cr_assert(0 == platform::decodeUpstream("i-1", with("coldLeftMs", 0).dump()).coldForMs, "it says that it is warm");
+	cr_assert(0 == platform::decodeUpstream("i-1", with("coldLeftMs", 0).dump()).coldForMs, "the upstream reports that it is warm");
 }
 
-Test(platform, a_row_of_another_writer_names_no_upstream)
+Test(platform, an_invalid_row_is_rejected)
 {
 	for (const char* field : {"service", "address", "zone", "slots", "state"})
 	{
-		cr_assert(namesNone(without(field)), "without %s", field);
+		cr_assert(isRejected(without(field)), "without %s", field);
 	}
 	for (const Json& row : {with("state", "asleep"), with("state", 1), with("service", 3), with("service", ""), with("zone", Json()), with("slots", "4"), with("slots", -1), with("slots", 1.5), with("slots", true), with("coldLeftMs", "12"), with("coldLeftMs", -1), with("coldLeftMs", 1e300), with("born", 1.5), with("born", "1764720000123"), with("born", -5), with("born", Json()), with("seq", "4"), with("version", 1)})
 	{
-		cr_assert(namesNone(row), "%s", row.dump().c_str());
+		cr_assert(isRejected(row), "%s", row.dump().c_str());
 	}
 	for (const char* address : {"", "nowhere", "10.0.0.9", "10.0.0.9:0", "10.0.0.9:70000", "10.0.0.900:80", "host:80", ":80", "[::1]:80"})
 	{
-		cr_assert(namesNone(with("address", address)), "%s", address);
+		cr_assert(isRejected(with("address", address)), "%s", address);
 	}
 	for (const char* text : {"", "{", "[]", "null", "7", "\xff\xfe", "\"ready\""})
 	{
-		cr_assert(namesNone(Json(std::string(text))), "%s", text);
+		cr_assert(isRejected(Json(std::string(text))), "%s", text);
 	}
-	// The key goes into a header.
-	cr_assert(namesNone(upstreamRow(), "i-1\r\nX-Api-Key: k") && namesNone(upstreamRow(), ""));
+	// The key is sent in a request header.
+	cr_assert(isRejected(upstreamRow(), "i-1\r\nX-Api-Key: k") && isRejected(upstreamRow(), ""));
 }
 
-/// Whatever is changed in a row: it is rejected as a whole, or names an upstream that can be reached.
-Test(platform, a_row_that_was_tampered_with_never_yields_an_address_that_cannot_be_used)
+/// However a row is changed, it is either rejected as a whole or yields an upstream with a usable address.
+Test(platform, a_changed_row_never_yields_an_unusable_address)
 {
-	tests::checkProperty("tampered rows", [] {
+	tests::checkProperty("changed rows", [] {
 		Json row = upstreamRow();
 		const int changes = *rc::gen::inRange(1, 4);
 		for (int change = 0; change < changes; ++change)
 		{
 			const std::string field = *rc::gen::element<std::string>("service", "address", "zone", "version", "slots", "state", "coldLeftMs", "seq", "born");
-			row[field] = *foreignValue();
+			row[field] = *unexpectedValue();
 		}
 		std::string text = row.dump();
 		if (*rc::gen::arbitrary<bool>())
--- a/tests/test_suspend.cpp
+++ b/tests/test_suspend.cpp
@@ -1,4 +1,4 @@
-/// Machines that are suspended for seconds: their steady clock doesn't count that time, so nothing that lapses may go by it.
+/// Machines that are suspended for seconds. Their steady clock doesn't count that time, so no expiry may be based on it.
 #include <thread>
 
 #include "group_rig.h"
@@ -9,11 +9,11 @@
 
 namespace
 {
-	/// Longer than a withdrawn key may work.
-	constexpr Millis kLongMs = 3'000;
-	constexpr Millis kShortMs = 300;
+	/// Longer than a revoked key may remain valid.
+	constexpr Millis kLongSuspensionMs = 3'000;
+	constexpr Millis kShortSuspensionMs = 300;
 
-	/// A gateway that can be suspended, in place of the rig's own.
+	/// A gateway rig with an additional gateway that can be suspended.
 	struct SuspendRig
 	{
 		SuspendRig()
@@ -21,7 +21,7 @@
 		    , clock(this->rig.directory.path)
 		{
 			this->clock.start([this] {
-				this->gateway = this->rig.startGatewayNamed("gateway-that-sleeps");
+				this->gateway = this->rig.startGatewayNamed("gateway-that-is-suspended");
 			});
 			this->gateway.waitReady(this->rig.workers.size());
 			this->rig.waitReady();
@@ -38,18 +38,18 @@
 	};
 } // namespace
 
-/// A key holds by the age of a proof. Were it told by the steady clock, a proof from before the sleep would
-/// look young, and a key that was withdrawn meanwhile would work.
-Test(suspend, keys_hold_no_longer_after_a_sleep)
+/// A key is valid as long as the proof of its configuration is recent. If the age of the proof were measured by the steady
+/// clock, a proof from before the suspension would appear recent, and a key revoked meanwhile would still be accepted.
+Test(suspend, keys_expire_on_time_after_a_suspension)
 {
 	SuspendRig rig;
 	cr_assert(200 == rig.call("before").status);
-	rig.rig.store.control({{"mode", "silent"}}); // no newer proof comes after the sleep
-	rig.clock.suspend(*rig.gateway.process, kShortMs, [] {});
-	cr_assert(200 == rig.call("short").status, "a short sleep ends no key");
-	rig.clock.suspend(*rig.gateway.process, kLongMs, [] {});
-	const RigResponse answer = rig.call("after");
-	cr_assert(503 == answer.status && "stale_proof\n" == answer.body, "%d %s", answer.status, answer.body.c_str());
+	rig.rig.store.control({{"mode", "silent"}}); // no newer proof arrives after the suspension
+	rig.clock.suspend(*rig.gateway.process, kShortSuspensionMs, [] {});
+	cr_assert(200 == rig.call("short").status, "a short suspension invalidates no key");
+	rig.clock.suspend(*rig.gateway.process, kLongSuspensionMs, [] {});
+	const RigResponse response = rig.call("after");
+	cr_assert(503 == response.status && "stale_proof\n" == response.body, "%d %s", response.status, response.body.c_str());
 	cr_assert(0 == runsOf(rig.rig, "after"));
 	cr_assert(200 == rig.call("public", "/open/x?do=ok").status);
 	rig.rig.store.control({{"mode", "up"}});
@@ -58,50 +58,52 @@
 	}));
 }
 
-/// A caller whose deadline passed while the machine slept was held after it, for what the timer of the deadline had left when the
-/// machine fell asleep: timers go by the steady clock. In this test 1,301 ms of 1,500 ("held for 1301 ms"); now the clock is looked at.
-Test(suspend, a_request_whose_deadline_passes_in_a_sleep_ends_when_the_machine_wakes)
+/// Guards against a request that outlives its deadline after a suspension. Timers use the steady clock, so the deadline's
+/// timer ran on after the machine resumed for the time it had left before the suspension: in this test 1,301 ms of 1,500
+/// ("held for 1301 ms").
+Test(suspend, a_request_whose_deadline_passes_in_a_suspension_ends_when_the_machine_resumes)
 {
-	constexpr Millis kBeforeMs = 200; // of the 1,500 that its caller waits
-	constexpr Millis kSoonMs = 600;
+	constexpr Millis kWaitBeforeMs = 200; // of the 1,500 ms that its caller waits
+	constexpr Millis kMaxDelayMs = 600;
 	SuspendRig rig;
-	RigResponse answer;
-	Millis answeredAt = 0;
+	RigResponse response;
+	Millis respondedAt = 0;
 	std::thread caller([&] {
-		answer = rig.call("under-way", "/once/x?do=hang");
-		answeredAt = nowMs();
+		response = rig.call("under-way", "/once/x?do=hang");
+		respondedAt = nowMs();
 	});
-	lab::pauseMs(kBeforeMs);
-	rig.clock.suspend(*rig.gateway.process, kLongMs, [] {});
-	const Millis wokeAt = nowMs();
+	lab::pauseMs(kWaitBeforeMs);
+	rig.clock.suspend(*rig.gateway.process, kLongSuspensionMs, [] {});
+	const Millis resumedAt = nowMs();
 	caller.join();
-	cr_assert(504 == answer.status, "%d %s", answer.status, answer.body.c_str());
-	cr_assert(answeredAt - wokeAt < kSoonMs, "held for %lld ms", static_cast<long long>(answeredAt - wokeAt));
+	cr_assert(504 == response.status, "%d %s", response.status, response.body.c_str());
+	cr_assert(respondedAt - resumedAt < kMaxDelayMs, "held for %lld ms", static_cast<long long>(respondedAt - resumedAt));
 }
 
-/// The time for which an upstream asked to be sent nothing goes on during a sleep, and not after it.
-Test(suspend, an_asked_back_off_ends_during_a_sleep)
+/// The duration of a back-off that an upstream asked for includes the time of a suspension.
+Test(suspend, a_requested_back_off_ends_during_a_suspension)
 {
 	SuspendRig rig;
-	bool allAsked = false;
-	for (int call = 0; call < 40 && !allAsked; ++call)
+	bool inBackOff = false;
+	for (int call = 0; call < 40 && !inBackOff; ++call)
 	{
-		const RigResponse answer = rig.call("ask-" + std::to_string(call), "/once/x?do=shed&restS=2");
-		allAsked = 503 == answer.status && "back_off\n" == answer.body;
+		const RigResponse response = rig.call("ask-" + std::to_string(call), "/once/x?do=shed&restS=2");
+		inBackOff = 503 == response.status && "back_off\n" == response.body;
 	}
-	cr_assert(allAsked);
-	rig.clock.suspend(*rig.gateway.process, kLongMs, [] {});
+	cr_assert(inBackOff);
+	rig.clock.suspend(*rig.gateway.process, kLongSuspensionMs, [] {});
 	cr_assert(lab::waitUntil(1'000, [&] {
 		return 200 == rig.call("after-back-off").status;
 	}));
 }
 
-/// Other gateways have seen a request crash three upstreams while this one slept: it refuses it soon after.
-Test(suspend, a_gateway_that_slept_learns_of_crashes)
+/// A request crashes three upstreams through another gateway while this one is suspended; this gateway refuses the
+/// request soon after it resumes.
+Test(suspend, a_suspended_gateway_learns_of_crashes_after_it_resumes)
 {
 	SuspendRig rig;
 	const std::string target = "/open/x?do=crash";
-	rig.clock.suspend(*rig.gateway.process, kLongMs, [&] {
+	rig.clock.suspend(*rig.gateway.process, kLongSuspensionMs, [&] {
 		for (int call = 0; call < 3; ++call)
 		{
 			rig.rig.call(target, GatewayRig::headersFor("crash-" + std::to_string(call)));
@@ -109,13 +111,13 @@
 		}
 	});
 	lab::pauseMs(2'000);
-	const RigResponse answer = rig.call("slept", target);
-	cr_assert(503 == answer.status && "crashes_upstreams\n" == answer.body, "%d %s", answer.status, answer.body.c_str());
+	const RigResponse response = rig.call("slept", target);
+	cr_assert(503 == response.status && "crashes_upstreams\n" == response.body, "%d %s", response.status, response.body.c_str());
 	cr_assert(0 == runsOf(rig.rig, "slept"));
 }
 
-/// A coordinator wakes up after its group has been led by another one for seconds.
-Test(suspend, a_coordinator_that_slept_does_no_harm)
+/// A coordinator resumes after another one has led its group for seconds.
+Test(suspend, a_coordinator_that_was_suspended_does_no_harm)
 {
 	std::unique_ptr<GroupRig> rig;
 	ScratchDirectory directory;
@@ -129,8 +131,8 @@
 	{
 		const std::size_t first = rig->coordinator();
 		cr_assert(first < kRanks);
-		clock.suspend(*group.sidecars[first], kLongMs, [&] {
-			cr_assert(group.switchesAgain(1, kSwitchMs), "another one leads");
+		clock.suspend(*group.sidecars[first], kLongSuspensionMs, [&] {
+			cr_assert(group.switchesAgain(1, kSwitchMs), "no switch under another coordinator");
 		});
 		cr_assert(group.switchesAgain(2, kSwitchMs));
 		group.expectNoSplit();
