--- a/src/agent/agent_server.cpp
+++ b/src/agent/agent_server.cpp
@@ -230,7 +230,7 @@
 			return;
 		}
 		Delivery& delivery = it->second;
-		const AnswerFrame frame = delivery.response->frameAt(delivery.sentBytes);
+		const ResponseFrame frame = delivery.response->frameAt(delivery.sentBytes);
 		if (frame.bytes.empty() && !frame.head.end)
 		{
 			return;
--- a/src/agent/answer_buffer.cpp
+++ b/src/agent/answer_buffer.cpp
@@ -57,10 +57,10 @@
 		return this->bytes.size();
 	}
 
-	AnswerFrame ResponseBuffer::frameAt(std::uint64_t _offset) const
+	ResponseFrame ResponseBuffer::frameAt(std::uint64_t _offset) const
 	{
 		absl::MutexLock lock(&this->mutex);
-		AnswerFrame frame;
+		ResponseFrame frame;
 		frame.bytes = _offset < this->bytes.size() ? this->bytes.substr(_offset) : "";
 		frame.status = this->status;
 		frame.contentType = this->contentType;
--- a/src/agent/answer_buffer.h
+++ b/src/agent/answer_buffer.h
@@ -35,7 +35,7 @@
 		std::size_t size() const;
 
 		/// @returns The frame that starts at _offset, with all bytes received so far.
-		AnswerFrame frameAt(std::uint64_t _offset) const;
+		ResponseFrame frameAt(std::uint64_t _offset) const;
 
 		/// How long the upstream asked to be sent no requests, ms; 0 if it didn't ask.
 		std::atomic<Millis> backOffMs{0};
--- a/src/entry/request_reconnect.cpp
+++ b/src/entry/request_reconnect.cpp
@@ -16,7 +16,7 @@
 		/// _frames, if given; otherwise they are dropped, and a later resume requests them again.
 		/// @returns Nothing when the link is lost or the time limit is reached.
 		template <typename Event>
-		std::optional<Event> waitFor(Call& _call, Millis _until, std::vector<AnswerFrame>* _frames = nullptr)
+		std::optional<Event> waitFor(Call& _call, Millis _until, std::vector<ResponseFrame>* _frames = nullptr)
 		{
 			while (std::optional<CallEvent> event = _call.wait(_until))
 			{
@@ -28,7 +28,7 @@
 				{
 					return std::nullopt;
 				}
-				AnswerFrame* frame = std::get_if<AnswerFrame>(&*event);
+				ResponseFrame* frame = std::get_if<ResponseFrame>(&*event);
 				if (nullptr != _frames && nullptr != frame)
 				{
 					_frames->push_back(std::move(*frame));
@@ -59,11 +59,11 @@
 	/// knows the run.
 	/// @returns The frames that arrived before its reply; nothing when it doesn't know the run
 	/// or didn't reply in time.
-	std::optional<std::vector<AnswerFrame>> RequestRun::resumeUntilAnswered(Millis _until)
+	std::optional<std::vector<ResponseFrame>> RequestRun::resumeUntilAnswered(Millis _until)
 	{
 		while (nowMs() < _until)
 		{
-			std::vector<AnswerFrame> frames;
+			std::vector<ResponseFrame> frames;
 			this->current.link->resume(this->current.call, this->current.relay.key, this->current.incarnation, this->current.relay.nextOffset);
 			const std::optional<ResumeEvent> response = waitFor<ResumeEvent>(*this->current.call, _until, &frames);
 			if (response && response->available)
@@ -91,7 +91,7 @@
 			}
 			this->current.started = true;
 		}
-		const std::optional<std::vector<AnswerFrame>> frames = this->resumeUntilAnswered(_until);
+		const std::optional<std::vector<ResponseFrame>> frames = this->resumeUntilAnswered(_until);
 		if (frames)
 		{
 			this->context.resumed.Increment();
@@ -100,9 +100,9 @@
 		return AttemptFailure{ExecutionProof::Ran, RefusalReason::None, 0, "answer_lost", "the request ran, but the link to its upstream was lost and the response can't be completed; check before you send it again"};
 	}
 
-	std::optional<RequestRun::AttemptFailure> RequestRun::handleFrames(const std::vector<AnswerFrame>& _frames)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleFrames(const std::vector<ResponseFrame>& _frames)
 	{
-		for (const AnswerFrame& frame : _frames)
+		for (const ResponseFrame& frame : _frames)
 		{
 			std::optional<AttemptFailure> failure = this->handleFrame(frame);
 			if (failure)
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -143,7 +143,7 @@
 		return AttemptFailure{proof, _event.reason, std::max<Millis>(1, _event.retryAfterMs), std::string(toString(_event.reason)), "the upstream " + this->current.link->identity().name + " refused the request (" + std::string(toString(_event.reason)) + "); retry after the time in Retry-After"};
 	}
 
-	std::optional<RequestRun::AttemptFailure> RequestRun::handleFrame(const AnswerFrame& _frame)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleFrame(const ResponseFrame& _frame)
 	{
 		const FrameDecision decision = acceptFrame(this->current.relay, _frame.head);
 		switch (decision.action)
@@ -185,7 +185,7 @@
 		{
 			return this->handleVerdict(*verdict);
 		}
-		if (const AnswerFrame* frame = std::get_if<AnswerFrame>(&_event))
+		if (const ResponseFrame* frame = std::get_if<ResponseFrame>(&_event))
 		{
 			return this->handleFrame(*frame);
 		}
--- a/src/entry/request_run.h
+++ b/src/entry/request_run.h
@@ -105,13 +105,13 @@
 		std::optional<AttemptFailure> waitForResponse();
 		std::optional<AttemptFailure> handleEvent(const CallEvent& _event);
 		std::optional<AttemptFailure> handleVerdict(const VerdictEvent& _event);
-		std::optional<AttemptFailure> handleFrame(const AnswerFrame& _frame);
+		std::optional<AttemptFailure> handleFrame(const ResponseFrame& _frame);
 		std::optional<AttemptFailure> handleLinkLost(const LinkLostEvent& _event);
 		std::optional<AttemptFailure> handleDeadline();
 		std::optional<AttemptFailure> reconnect(Millis _until);
 		std::optional<RevokeState> revokeUntilAnswered(Millis _until);
-		std::optional<std::vector<AnswerFrame>> resumeUntilAnswered(Millis _until);
-		std::optional<AttemptFailure> handleFrames(const std::vector<AnswerFrame>& _frames);
+		std::optional<std::vector<ResponseFrame>> resumeUntilAnswered(Millis _until);
+		std::optional<AttemptFailure> handleFrames(const std::vector<ResponseFrame>& _frames);
 		void closeAttempt();
 		ResponseStart runAttempts();
 		AttemptFailure noUpstreamFailure() const;
--- a/src/rpc/rpc_convert.cpp
+++ b/src/rpc/rpc_convert.cpp
@@ -108,7 +108,7 @@
 		return {_from.getAccepted(), fromRpc(_from.getReason()), _from.getRetryAfterMs()};
 	}
 
-	void writeFrame(rpc::Frame::Builder _to, const AnswerFrame& _from, const LoadReport& _load)
+	void writeFrame(rpc::Frame::Builder _to, const ResponseFrame& _from, const LoadReport& _load)
 	{
 		writeKey(_to.initKey(), _from.head.key);
 		_to.setOffset(_from.head.offset);
@@ -125,9 +125,9 @@
 		}
 	}
 
-	AnswerFrame readFrame(rpc::Frame::Reader _from)
+	ResponseFrame readFrame(rpc::Frame::Reader _from)
 	{
-		AnswerFrame frame;
+		ResponseFrame frame;
 		frame.bytes = fromData(_from.getData());
 		frame.head = {readKey(_from.getKey()), _from.getOffset(), frame.bytes.size(), _from.getEnd(), _from.getTotal(), _from.getFailed()};
 		frame.status = _from.getStatus();
--- a/src/rpc/rpc_convert.h
+++ b/src/rpc/rpc_convert.h
@@ -22,8 +22,8 @@
 	void writeVerdict(rpc::Verdict::Builder _to, const VerdictEvent& _from, const LoadReport& _load);
 	VerdictEvent readVerdict(rpc::Verdict::Reader _from);
 
-	void writeFrame(rpc::Frame::Builder _to, const AnswerFrame& _from, const LoadReport& _load);
-	AnswerFrame readFrame(rpc::Frame::Reader _from);
+	void writeFrame(rpc::Frame::Builder _to, const ResponseFrame& _from, const LoadReport& _load);
+	ResponseFrame readFrame(rpc::Frame::Reader _from);
 
 	rpc::RevokeState toRpc(RevokeState _state);
 	RevokeState fromRpc(rpc::RevokeState _state);
--- a/src/rpc/run.h
+++ b/src/rpc/run.h
@@ -27,7 +27,7 @@
 	};
 
 	/// A chunk of a response.
-	struct AnswerFrame
+	struct ResponseFrame
 	{
 		FrameHeader head;
 		std::string bytes;
@@ -35,7 +35,7 @@
 		std::string contentType;
 		bool notRun = false; ///< In a failed frame: nothing reached the upstream.
 
-		bool operator==(const AnswerFrame&) const = default;
+		bool operator==(const ResponseFrame&) const = default;
 	};
 
 	/// The agent has accepted the run, or refused it.
@@ -74,5 +74,5 @@
 		bool operator==(const ResumeEvent&) const = default;
 	};
 
-	using CallEvent = std::variant<VerdictEvent, AnswerFrame, LinkLostEvent, RevokeEvent, ResumeEvent>;
+	using CallEvent = std::variant<VerdictEvent, ResponseFrame, LinkLostEvent, RevokeEvent, ResumeEvent>;
 } // namespace archdyke
--- a/tests/office.h
+++ b/tests/office.h
@@ -29,7 +29,7 @@
 		cr_assert(_office.waitReady(), "the office did not get ready");
 	}
 
-	inline lab::LoadOptions loadOn(lab::Office& _office)
+	inline lab::LoadOptions loadOptionsOf(lab::Office& _office)
 	{
 		return _office.loadOptions();
 	}
--- a/tests/test_back_off_agent.cpp
+++ b/tests/test_back_off_agent.cpp
@@ -34,7 +34,7 @@
 	makeReady(office);
 	const lab::UpstreamStub& stub = shopStub(office);
 	lab::sendJson(stub.address, "POST", "/control", {{"restS", 3.0}});
-	const lab::LoadOptions load = loadOn(office);
+	const lab::LoadOptions load = loadOptionsOf(office);
 	constexpr int kCalls = 200; // sequential, over more than half a second
 	int served = 0;
 	for (int call = 0; call < kCalls; ++call)
--- a/tests/test_crash_agent.cpp
+++ b/tests/test_crash_agent.cpp
@@ -13,7 +13,7 @@
 	/// @returns Number of services that crashed.
 	std::size_t sendCrashingCalls(lab::Office& _office, int _calls)
 	{
-		const lab::LoadOptions load = loadOn(_office);
+		const lab::LoadOptions load = loadOptionsOf(_office);
 		std::size_t crashed = 0;
 		for (int call = 0; call < _calls; ++call)
 		{
--- a/tests/test_leaving.cpp
+++ b/tests/test_leaving.cpp
@@ -13,7 +13,7 @@
 	/// @returns Number of requests by the upstream that ran them.
 	std::map<std::string, int> countRunsByUpstream(lab::Office& _office, std::uint32_t _calls)
 	{
-		lab::LoadOptions load = loadOn(_office);
+		lab::LoadOptions load = loadOptionsOf(_office);
 		load.requests = _calls;
 		load.perSecond = 200;
 		std::map<std::string, int> count;
@@ -26,7 +26,7 @@
 
 	lab::LoadResult loadWhile(lab::Office& _office, const std::function<void()>& _do)
 	{
-		lab::LoadOptions load = loadOn(_office);
+		lab::LoadOptions load = loadOptionsOf(_office);
 		load.requests = 500;
 		load.perSecond = 150;
 		load.tokens = 60;
--- a/tests/test_map.cpp
+++ b/tests/test_map.cpp
@@ -15,7 +15,7 @@
 	{
 	public:
 		explicit BackgroundLoad(lab::Office& _office)
-		    : options(loadOn(_office))
+		    : options(loadOptionsOf(_office))
 		{
 			this->options.requests = 100'000;
 			this->options.perSecond = 120;
--- a/tests/test_once.cpp
+++ b/tests/test_once.cpp
@@ -9,7 +9,7 @@
 {
 	lab::CallRecord sendNotRepeatable(lab::Office& _office, const std::string& _token, std::size_t _entry)
 	{
-		return lab::sendCall(loadOn(_office), lab::CallKind::NotRepeatable, _token, _office.entries()[_entry]->http, "alpha");
+		return lab::sendCall(loadOptionsOf(_office), lab::CallKind::NotRepeatable, _token, _office.entries()[_entry]->http, "alpha");
 	}
 
 	void expectOutcome(const lab::CallRecord& _record, int _status, Outcome _outcome)
@@ -23,7 +23,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	const lab::LoadOptions load = loadOn(office);
+	const lab::LoadOptions load = loadOptionsOf(office);
 	setShopDelay(office, 50);
 	for (int round = 0; round < 10; ++round)
 	{
@@ -52,7 +52,7 @@
 	lab::Office office(smallOffice());
 	makeReady(office);
 	setShopDelay(office, 800);
-	const lab::LoadOptions load = loadOn(office);
+	const lab::LoadOptions load = loadOptionsOf(office);
 	std::future<lab::CallRecord> first = sendCallAsync(load, lab::CallKind::NotRepeatable, "dead", load.entries[0]);
 	cr_assert(waitForRuns(office, "dead", 1));
 	office.entries()[0]->process->kill();
@@ -66,7 +66,7 @@
 	lab::Office office(smallOffice());
 	makeReady(office);
 	setShopDelay(office, 400);
-	const lab::LoadOptions load = loadOn(office);
+	const lab::LoadOptions load = loadOptionsOf(office);
 	std::future<lab::CallRecord> first = sendCallAsync(load, lab::CallKind::NotRepeatable, "paused", load.entries[0]);
 	lab::pauseMs(2);
 	office.entries()[0]->process->signal(SIGSTOP);
@@ -85,7 +85,7 @@
 	const lab::CallRecord refused = sendNotRepeatable(office, "down", 0);
 	expectOutcome(refused, 503, Outcome::NotRun);
 	cr_assert(0 == office.runs()["down"]);
-	cr_assert(lab::sendCall(loadOn(office), lab::CallKind::Lookup, "lookup", office.entries()[0]->http, "alpha").whole, "a zone without its platform stopped serving");
+	cr_assert(lab::sendCall(loadOptionsOf(office), lab::CallKind::Lookup, "lookup", office.entries()[0]->http, "alpha").whole, "a zone without its platform stopped serving");
 	office.platformFaults({{"outage", false}});
 	cr_assert(lab::waitUntil(10'000, [&] {
 		          return sendNotRepeatable(office, "down", 0).whole;
@@ -124,7 +124,7 @@
 	lab::Office office(smallOffice());
 	makeReady(office);
 	office.platformFaults({{"delayMs", 200}});
-	lab::LoadOptions load = loadOn(office);
+	lab::LoadOptions load = loadOptionsOf(office);
 	load.perSecond = 60;
 	load.requests = 60;
 	const lab::LoadResult result = lab::runLoad(load);
--- a/tests/test_outcome.cpp
+++ b/tests/test_outcome.cpp
@@ -10,7 +10,7 @@
 	/// Sends several non-repeatable calls through one entry.
 	std::vector<std::future<lab::CallRecord>> sendNotRepeatable(lab::Office& _office, const std::string& _prefix, int _count)
 	{
-		const lab::LoadOptions load = loadOn(_office);
+		const lab::LoadOptions load = loadOptionsOf(_office);
 		std::vector<std::future<lab::CallRecord>> calls;
 		for (int index = 0; index < _count; ++index)
 		{
@@ -135,7 +135,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	const lab::LoadOptions load = loadOn(office);
+	const lab::LoadOptions load = loadOptionsOf(office);
 	// Only the stubs of the service are killed; the agents keep running.
 	for (const lab::UpstreamStub& stub : office.stubs())
 	{
--- a/tests/test_path.cpp
+++ b/tests/test_path.cpp
@@ -54,7 +54,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	lab::LoadOptions load = loadOn(office);
+	lab::LoadOptions load = loadOptionsOf(office);
 	load.perSecond = 150;
 	load.requests = 300;
 	const lab::LoadResult result = lab::runLoad(load);
@@ -67,7 +67,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "reset");
+	std::future<lab::CallRecord> call = startLongStream(office, loadOptionsOf(office), "reset");
 	setAgentLinkFaults(office, "north", {{"reset", true}});
 	const lab::CallRecord record = call.get();
 	cr_assert(record.whole, "reason %s", record.reason.c_str());
@@ -78,7 +78,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "cut");
+	std::future<lab::CallRecord> call = startLongStream(office, loadOptionsOf(office), "cut");
 	setAgentLinkFaults(office, "north", {{"cutToClient", true}});
 	cr_assert(lab::waitUntil(5'000, [&] {
 		return std::string::npos != office.entries().front()->process->log().find("event=agent_link_lost");
@@ -91,7 +91,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "killed");
+	std::future<lab::CallRecord> call = startLongStream(office, loadOptionsOf(office), "killed");
 	busyAgent(office, call).process->kill();
 	const lab::CallRecord record = call.get();
 	cr_assert(!record.whole && record.brokenTold && !record.cutClean && !record.foreign, "whole %d, broken told %d, cut clean %d, foreign %d, %s", record.whole, record.brokenTold, record.cutClean, record.foreign, record.reason.c_str());
@@ -101,7 +101,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	std::future<lab::CallRecord> call = startLongStream(office, loadOn(office), "entry-killed");
+	std::future<lab::CallRecord> call = startLongStream(office, loadOptionsOf(office), "entry-killed");
 	office.entries().front()->process->kill();
 	const lab::CallRecord record = call.get();
 	cr_assert(!record.whole && !record.cutClean && !record.foreign);
@@ -111,7 +111,7 @@
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
-	lab::LoadOptions load = loadOn(office);
+	lab::LoadOptions load = loadOptionsOf(office);
 	load.tokens = 100;
 	std::future<lab::CallRecord> call = sendCallAsync(load, lab::CallKind::Whole, "repeat", load.entries.front());
 	cr_assert(waitForRuns(office, "repeat", 1));
