--- a/include/archdyke/ledger.h
+++ b/include/archdyke/ledger.h
@@ -84,6 +84,6 @@
 	/// Revokes a run on behalf of its entry, if it has not started.
 	RevokeState revokeRun(Ledger& _ledger, const RunKey& _key, const Session& _session, Millis _now);
 
-	/// Removes ended runs older than kLedgerKeepMs and session floors older than kSessionFloorKeepMs.
+	/// Removes ended runs older than kLedgerRetentionMs and session floors older than kSessionFloorRetentionMs.
 	void removeExpiredRuns(Ledger& _ledger, Millis _now);
 } // namespace archdyke
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -16,7 +16,7 @@
 	{
 		constexpr Millis kSweepIntervalMs = 250;
 		/// How long a stopping agent keeps running so that entries learn from heartbeats that it is leaving, ms.
-		constexpr Millis kLeavingNoticeMs = 2 * kHeartbeatMs;
+		constexpr Millis kLeavingNoticeMs = 2 * kMinHeartbeatIntervalMs;
 
 		/// Owns the components of an agent, declared in the order of their construction.
 		class AgentProcess
--- a/src/agent/agent_runs.cpp
+++ b/src/agent/agent_runs.cpp
@@ -9,7 +9,7 @@
 	namespace
 	{
 		/// How long the response of an ended run is kept for a resume, ms.
-		constexpr Millis kResponseRetentionMs = 2 * kResumeMs;
+		constexpr Millis kResponseRetentionMs = 2 * kResumeTimeoutMs;
 		/// Retry delay that entries get while the upstream is unreachable, ms.
 		constexpr Millis kUpstreamDownRetryMs = 1000;
 	} // namespace
@@ -26,7 +26,7 @@
 			absl::MutexLock lock(&this->mutex);
 			this->ledger.incarnation = _incarnation;
 			this->admission.slots = _settings.slots;
-			this->admission.capacity = kQueueRuns;
+			this->admission.capacity = kMaxQueuedRuns;
 		}
 		for (std::uint32_t index = 0; index < _settings.slots; ++index)
 		{
--- a/src/agent/agent_server.cpp
+++ b/src/agent/agent_server.cpp
@@ -286,7 +286,7 @@
 		std::vector<RunKey> orphans;
 		for (const auto& [key, delivery] : this->deliveries)
 		{
-			if (0 != delivery.orphanedAt && kOrphanKeepMs < now - delivery.orphanedAt)
+			if (0 != delivery.orphanedAt && kOrphanRunTimeoutMs < now - delivery.orphanedAt)
 			{
 				orphans.push_back(key);
 			}
--- a/src/agent/agent_server.h
+++ b/src/agent/agent_server.h
@@ -25,7 +25,7 @@
 		void onVerdict(const RunKey& _key, const VerdictEvent& _verdict);
 		void onResponseData(const RunKey& _key);
 
-		/// Cancels runs whose entry has been lost for longer than kOrphanKeepMs. Called on the loop's thread.
+		/// Cancels runs whose entry has been lost for longer than kOrphanRunTimeoutMs. Called on the loop's thread.
 		void sweep();
 
 		/// @returns Number of runs whose response isn't completely sent. Called on the loop's thread.
--- a/src/agent/answer_buffer.cpp
+++ b/src/agent/answer_buffer.cpp
@@ -24,7 +24,7 @@
 	bool ResponseBuffer::append(std::string_view _bytes)
 	{
 		absl::MutexLock lock(&this->mutex);
-		if (kMaxAnswerBytes < this->bytes.size() + _bytes.size())
+		if (kMaxBufferedResponseBytes < this->bytes.size() + _bytes.size())
 		{
 			return false;
 		}
--- a/src/agent/answer_buffer.h
+++ b/src/agent/answer_buffer.h
@@ -21,7 +21,7 @@
 		/// Records status and content type of the upstream's response.
 		void begin(int _status, const std::string& _contentType);
 
-		/// @returns false if the response would exceed kMaxAnswerBytes; the bytes are not appended then.
+		/// @returns false if the response would exceed kMaxBufferedResponseBytes; the bytes are not appended then.
 		bool append(std::string_view _bytes);
 
 		/// Marks the response as complete; no more bytes follow.
--- a/src/base/config_rows.h
+++ b/src/base/config_rows.h
@@ -14,7 +14,7 @@
 	constexpr const char* kConfirmPrefix = "config/confirm/";
 
 	/// How long the row is kept that records which apply created a version, seconds.
-	constexpr std::int64_t kAcceptedKeepSeconds = 86'400;
+	constexpr std::int64_t kAcceptedRetentionSeconds = 86'400;
 
 	/// @returns Key of the row that records which apply created a version.
 	std::string acceptedKey(std::uint64_t _version);
--- a/src/base/http_server.cpp
+++ b/src/base/http_server.cpp
@@ -113,8 +113,8 @@
 		this->server.set_pre_routing_handler(refuseWhenFull);
 		this->server.set_tcp_nodelay(true);
 		this->server.set_payload_max_length(kMaxBodyBytes);
-		this->server.set_read_timeout(kCallerReadSeconds);
-		this->server.set_write_timeout(kCallerWriteSeconds);
+		this->server.set_read_timeout(kCallerReadTimeoutSeconds);
+		this->server.set_write_timeout(kCallerWriteTimeoutSeconds);
 		this->server.set_keep_alive_max_count(kMaxKeepAliveRequests);
 		this->server.set_keep_alive_timeout(kKeepAliveTimeoutSeconds);
 		this->server.set_socket_options([this](socket_t _socket) {
--- a/src/base/settings_reader.h
+++ b/src/base/settings_reader.h
@@ -14,7 +14,7 @@
 	enum class UnknownFields
 	{
 		Refuse,
-		PassOver ///< The deployment may write fields that this program doesn't know.
+		Ignore ///< The deployment may write fields that this program doesn't know.
 	};
 
 	/// Checks that a text is an address; reports a problem to the reader if it isn't.
--- a/src/decide/lease.cpp
+++ b/src/decide/lease.cpp
@@ -29,7 +29,7 @@
 		}
 		_view.mayActUntil = 0;
 		const bool free = 0 == _row->holder;
-		const bool expired = kLeaseMs <= _now - _view.seenSince;
+		const bool expired = kLeaseDurationMs <= _now - _view.seenSince;
 		if (free || expired)
 		{
 			return {true, {_view.self, _row->fence + 1, _row->renewal + 1}};
@@ -40,7 +40,7 @@
 	void recordLeaseWrite(LeaseView& _view, const LeaseRow& _row, Millis _begunAt, Millis _now)
 	{
 		updateSeen(_view, _row, _now);
-		_view.mayActUntil = _view.self == _row.holder ? _begunAt + kLeaseActMs : 0;
+		_view.mayActUntil = _view.self == _row.holder ? _begunAt + kLeaseHolderTimeoutMs : 0;
 	}
 
 	std::optional<std::uint64_t> actingFence(const LeaseView& _view, Millis _now)
--- a/src/decide/ledger.cpp
+++ b/src/decide/ledger.cpp
@@ -95,7 +95,7 @@
 		{
 			return RefusalReason::Leaving;
 		}
-		if (kLedgerRuns <= _ledger.active + _ledger.ended.size())
+		if (kMaxLedgerRuns <= _ledger.active + _ledger.ended.size())
 		{
 			return RefusalReason::Overloaded;
 		}
@@ -172,13 +172,13 @@
 
 	void removeExpiredRuns(Ledger& _ledger, Millis _now)
 	{
-		while (!_ledger.ended.empty() && kLedgerKeepMs < _now - _ledger.ended.front().endedAt)
+		while (!_ledger.ended.empty() && kLedgerRetentionMs < _now - _ledger.ended.front().endedAt)
 		{
 			eraseRun(_ledger, _ledger.ended.front().key);
 			_ledger.ended.pop_front();
 		}
 		absl::erase_if(_ledger.floors, [&](const auto& _floor) {
-			return kSessionFloorKeepMs < _now - _floor.second.seenAt;
+			return kSessionFloorRetentionMs < _now - _floor.second.seenAt;
 		});
 	}
 } // namespace archdyke
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -8,13 +8,13 @@
 {
 	void earnRetry(RetryBudget& _budget)
 	{
-		_budget.tokens = std::min(kRetryBurst, _budget.tokens + kRetryShare);
+		_budget.tokens = std::min(kMaxRetryBurst, _budget.tokens + kRetriesPerSuccess);
 	}
 
 	bool spendRetry(RetryBudget& _budget, Millis _now)
 	{
-		const double earned = double(std::max<Millis>(0, _now - _budget.updatedAt)) * kRetryFloorPerSecond / 1000.0;
-		_budget.tokens = std::min(kRetryBurst, _budget.tokens + earned);
+		const double earned = double(std::max<Millis>(0, _now - _budget.updatedAt)) * kMinRetriesPerSecond / 1000.0;
+		_budget.tokens = std::min(kMaxRetryBurst, _budget.tokens + earned);
 		_budget.updatedAt = std::max(_budget.updatedAt, _now);
 		if (_budget.tokens < 1.0)
 		{
--- a/src/entry/agent_link.cpp
+++ b/src/entry/agent_link.cpp
@@ -16,7 +16,7 @@
 	    : loop(_loop)
 	    , agentIdentity(std::move(_identity))
 	    , entryIncarnation(_entryIncarnation)
-	    , heartbeatMs(kHeartbeatMs)
+	    , heartbeatMs(kMinHeartbeatIntervalMs)
 	{
 	}
 
@@ -238,7 +238,7 @@
 
 	void AgentLink::dropConnection(const std::string& _why)
 	{
-		this->nextConnectAt = nowMs() + kReconnectMs;
+		this->nextConnectAt = nowMs() + kReconnectIntervalMs;
 		if (nullptr == this->connection.get())
 		{
 			return;
--- a/src/entry/agent_link_calls.cpp
+++ b/src/entry/agent_link_calls.cpp
@@ -50,7 +50,7 @@
 		request.setSink(kj::heap<CallSink>(_call, [self = this->shared_from_this()](const LoadReport& _load) {
 			self->applyLoad(_load);
 		}));
-		if (kLinkQuietMs < nowMs() - connection.lastReceivedAt)
+		if (kLinkIdleMs < nowMs() - connection.lastReceivedAt)
 		{
 			// Detects a dead link while the run waits, instead of at its deadline.
 			this->sendHeartbeat(connection);
--- a/src/entry/claims.cpp
+++ b/src/entry/claims.cpp
@@ -54,7 +54,7 @@
 
 	Millis Claims::batchIntervalMs() const
 	{
-		return std::max<Millis>(kClaimBatchMs, Millis(this->entries) * 1000 / kMaxClaimTransactionsPerS);
+		return std::max<Millis>(kClaimBatchWindowMs, Millis(this->entries) * 1000 / kMaxClaimTransactionsPerS);
 	}
 
 	ClaimResult Claims::claim(const std::string& _key, const std::string& _nonce)
@@ -142,7 +142,7 @@
 		}
 		_transaction.conditions.push_back({_operation->key, _operation->version});
 		const ClaimRow row{OperationKind::MarkRan == _operation->kind ? ClaimState::Ran : ClaimState::Claimed, _operation->nonce};
-		_transaction.writes.push_back({_operation->key, OperationKind::Release == _operation->kind ? std::nullopt : std::optional<std::string>(encodeClaim(row)), kClaimKeepSeconds});
+		_transaction.writes.push_back({_operation->key, OperationKind::Release == _operation->kind ? std::nullopt : std::optional<std::string>(encodeClaim(row)), kClaimRetentionSeconds});
 		return false;
 	}
 
--- a/src/entry/directory.cpp
+++ b/src/entry/directory.cpp
@@ -18,11 +18,11 @@
 			return names;
 		}
 
-		/// Returns the heartbeat interval that keeps all links together within kHeartbeatsPerSecond, ms.
+		/// Returns the heartbeat interval that keeps all links together within kMaxHeartbeatsPerSecond, ms.
 		Millis heartbeatIntervalMs(std::size_t _links)
 		{
 			constexpr Millis kMsPerSecond = 1000;
-			return std::max<Millis>(kHeartbeatMs, Millis(_links) * kMsPerSecond / kHeartbeatsPerSecond);
+			return std::max<Millis>(kMinHeartbeatIntervalMs, Millis(_links) * kMsPerSecond / kMaxHeartbeatsPerSecond);
 		}
 	} // namespace
 
@@ -87,12 +87,12 @@
 			}
 		}
 		std::vector<Upstream> result;
-		const std::uint32_t coverage = ownZone.size() <= kFullMeshAgents ? std::uint32_t(this->zoneEntries().size()) : kAgentCoverage;
+		const std::uint32_t coverage = ownZone.size() <= kMaxFullMeshAgents ? std::uint32_t(this->zoneEntries().size()) : kAgentCoverage;
 		for (const std::size_t index : chooseSubset(this->name, this->zoneEntries(), namesOf(ownZone), coverage))
 		{
 			result.push_back(ownZone[index]);
 		}
-		for (const std::size_t index : chooseSample(this->name, namesOf(otherZones), kForeignLinks))
+		for (const std::size_t index : chooseSample(this->name, namesOf(otherZones), kMaxOtherZoneLinks))
 		{
 			result.push_back(otherZones[index]);
 		}
--- a/src/entry/entry_http.cpp
+++ b/src/entry/entry_http.cpp
@@ -72,7 +72,7 @@
 			{
 				return httplib::Server::HandlerResponse::Unhandled;
 			}
-			const std::string message = kTooLarge == _response.status ? "the body is larger than " + std::to_string(kMaxBodyBytes) + " bytes; send a smaller one" : "the request is malformed, its headers are too long, or it was sent too slowly; send it whole, with no pause of " + std::to_string(kCallerReadSeconds) + " s";
+			const std::string message = kTooLarge == _response.status ? "the body is larger than " + std::to_string(kMaxBodyBytes) + " bytes; send a smaller one" : "the request is malformed, its headers are too long, or it was sent too slowly; send it whole, with no pause of " + std::to_string(kCallerReadTimeoutSeconds) + " s";
 			writeFinalResponse({_response.status, Outcome::NotRun, 0, "bad_request", message}, "", _response);
 			return httplib::Server::HandlerResponse::Handled;
 		}
@@ -201,7 +201,7 @@
 		if (ClaimResult::Claimed == end)
 		{
 			_exchange.claimedKey = key;
-			if (kClaimFreshMs < nowMs() - begunAt)
+			if (kMaxClaimAgeMs < nowMs() - begunAt)
 			{
 				throw notRun(kUnavailable, "claim_old", "this entry was paused for too long; retry after the time in Retry-After", kLeavingRetryMs);
 			}
--- a/src/entry/planner.cpp
+++ b/src/entry/planner.cpp
@@ -269,7 +269,7 @@
 			step = std::max(step, report.state.step);
 		}
 		VoteMessage message;
-		message.group.proposal = {_group.name, number, _fence, first.state.formation, first.state.epoch, step + kMapMarginSteps, digest, std::uint32_t(_group.agents.size())};
+		message.group.proposal = {_group.name, number, _fence, first.state.formation, first.state.epoch, step + kProposalLeadSteps, digest, std::uint32_t(_group.agents.size())};
 		message.group.peers = _group.agents;
 		auto collector = std::make_shared<ResponseCollector<bool>>(_group.agents.size());
 		for (std::size_t rank = 0; rank < _group.agents.size(); ++rank)
@@ -335,7 +335,7 @@
 		{
 			{
 				absl::MutexLock lock(&this->mutex);
-				if (this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kLeaseRenewMs)))
+				if (this->mutex.AwaitWithTimeout(absl::Condition(&this->stopping), absl::Milliseconds(kLeaseRenewIntervalMs)))
 				{
 					return;
 				}
--- a/src/entry/request_reconnect.cpp
+++ b/src/entry/request_reconnect.cpp
@@ -83,7 +83,7 @@
 			const std::optional<RevokeState> state = this->revokeUntilAnswered(_until);
 			if (RevokeState::NotRun == state)
 			{
-				return AttemptFailure{ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "link_lost", "the link to the upstream was lost and the request was revoked; retry after the time in Retry-After"};
+				return AttemptFailure{ExecutionProof::NotRun, RefusalReason::None, kDefaultRetryDelayMs, "link_lost", "the link to the upstream was lost and the request was revoked; retry after the time in Retry-After"};
 			}
 			if (RevokeState::Started != state)
 			{
@@ -117,11 +117,11 @@
 	{
 		if (_event.neverSent)
 		{
-			return AttemptFailure{ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "link_down", "the link to the upstream is down; retry after the time in Retry-After"};
+			return AttemptFailure{ExecutionProof::NotRun, RefusalReason::None, kDefaultRetryDelayMs, "link_down", "the link to the upstream is down; retry after the time in Retry-After"};
 		}
 		const bool mayRetry = this->request.repeatable && !this->delivered;
-		const Millis limit = mayRetry ? kQuickResumeMs : this->current.started ? kResumeMs
-		                                                                       : kRevokeMs;
+		const Millis limit = mayRetry ? kShortResumeTimeoutMs : this->current.started ? kResumeTimeoutMs
+		                                                                              : kRevokeTimeoutMs;
 		return this->reconnect(std::min(this->request.deadline, nowMs() + limit));
 	}
 } // namespace archdyke
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -154,9 +154,9 @@
 			this->undelivered.append(_frame.bytes, decision.skip);
 			return std::nullopt;
 		case FrameAction::Gap:
-			return this->reconnect(nowMs() + kResumeMs);
+			return this->reconnect(nowMs() + kResumeTimeoutMs);
 		case FrameAction::Broken:
-			return AttemptFailure{_frame.notRun ? ExecutionProof::NotRun : ExecutionProof::Ran, RefusalReason::None, kComeBackMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; retry after the time in Retry-After" : " did not complete its response; check with it before you send the request again")};
+			return AttemptFailure{_frame.notRun ? ExecutionProof::NotRun : ExecutionProof::Ran, RefusalReason::None, kDefaultRetryDelayMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; retry after the time in Retry-After" : " did not complete its response; check with it before you send the request again")};
 		default:
 			this->context.droppedFrames.Increment();
 			return std::nullopt;
@@ -176,7 +176,7 @@
 		{
 			this->current.link->cancel(this->current.relay.key);
 		}
-		return AttemptFailure{proof, RefusalReason::Deadline, kComeBackMs, "deadline", "the deadline of the service has passed"};
+		return AttemptFailure{proof, RefusalReason::Deadline, kDefaultRetryDelayMs, "deadline", "the deadline of the service has passed"};
 	}
 
 	std::optional<RequestRun::AttemptFailure> RequestRun::handleEvent(const CallEvent& _event)
@@ -213,7 +213,7 @@
 
 	RequestRun::AttemptFailure RequestRun::noUpstreamFailure() const
 	{
-		return {ExecutionProof::NotRun, RefusalReason::None, kComeBackMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" accepts requests now; retry after the time in Retry-After"};
+		return {ExecutionProof::NotRun, RefusalReason::None, kDefaultRetryDelayMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" accepts requests now; retry after the time in Retry-After"};
 	}
 
 	RejectedError RequestRun::makeRejection(const AttemptFailure& _failure) const
--- a/src/entry/watcher.cpp
+++ b/src/entry/watcher.cpp
@@ -301,7 +301,7 @@
 			const auto shouldPoll = [this]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
 				return this->stopping || this->pollRequested;
 			};
-			this->mutex.AwaitWithTimeout(absl::Condition(&shouldPoll), absl::Milliseconds(kConfigPollMs - kMinPollIntervalMs));
+			this->mutex.AwaitWithTimeout(absl::Condition(&shouldPoll), absl::Milliseconds(kConfigPollIntervalMs - kMinPollIntervalMs));
 			this->pollRequested = false;
 			if (this->stopping)
 			{
--- a/src/gateway/settings.cpp
+++ b/src/gateway/settings.cpp
@@ -48,7 +48,7 @@
 
 	GatewaySettings loadGatewaySettings(const std::string& _path)
 	{
-		return loadSettings<GatewaySettings>(_path, UnknownFields::PassOver, [](ObjectReader& _reader) {
+		return loadSettings<GatewaySettings>(_path, UnknownFields::Ignore, [](ObjectReader& _reader) {
 			GatewaySettings settings;
 			settings.place = readPlace(_reader);
 			settings.callers = readAddress(_reader, "callers");
@@ -61,7 +61,7 @@
 
 	SidecarSettings loadSidecarSettings(const std::string& _path)
 	{
-		return loadSettings<SidecarSettings>(_path, UnknownFields::PassOver, [](ObjectReader& _reader) {
+		return loadSettings<SidecarSettings>(_path, UnknownFields::Ignore, [](ObjectReader& _reader) {
 			SidecarSettings settings;
 			settings.place = readPlace(_reader);
 			settings.upstream = readAddress(_reader, "upstream");
--- a/src/operator/apply.cpp
+++ b/src/operator/apply.cpp
@@ -168,7 +168,7 @@
 		/// @throws ConflictError, InDoubtError.
 		void updateHead(PlatformClient& _client, const ApplyOptions& _options, const Rows& _rows, const StageRow& _stage)
 		{
-			const TableTransaction update{{}, {{kHeadKey, _rows.headRow.version}, {kStageKey, _rows.stageRow.version}}, {{kHeadKey, encodeHead({_stage.mark, _stage.nonce}), 0}, {acceptedKey(_stage.mark.version), _stage.nonce, kAcceptedKeepSeconds}}};
+			const TableTransaction update{{}, {{kHeadKey, _rows.headRow.version}, {kStageKey, _rows.stageRow.version}}, {{kHeadKey, encodeHead({_stage.mark, _stage.nonce}), 0}, {acceptedKey(_stage.mark.version), _stage.nonce, kAcceptedRetentionSeconds}}};
 			const Millis deadline = nowMs() + kHeadUpdateTimeoutMs;
 			do
 			{
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -17,7 +17,7 @@
 	cr_assert(step.write);
 	recordLeaseWrite(view, step.row, 0, 10);
 	cr_assert(1u == actingFence(view, 100).value());
-	cr_assert(!actingFence(view, kLeaseActMs));
+	cr_assert(!actingFence(view, kLeaseHolderTimeoutMs));
 }
 
 Test(lease, fences_increase_and_holders_do_not_overlap)
--- a/tests/test_ledger.cpp
+++ b/tests/test_ledger.cpp
@@ -73,11 +73,11 @@
 	offerRun(ledger, {"r", 0}, session(1), false, 0);
 	startRun(ledger, {"r", 0});
 	finishRun(ledger, {"r", 0}, 10);
-	removeExpiredRuns(ledger, 10 + kLedgerKeepMs);
-	cr_assert(RevokeState::Started == revokeRun(ledger, {"r", 0}, session(1), 10 + kLedgerKeepMs));
-	removeExpiredRuns(ledger, 11 + kLedgerKeepMs);
+	removeExpiredRuns(ledger, 10 + kLedgerRetentionMs);
+	cr_assert(RevokeState::Started == revokeRun(ledger, {"r", 0}, session(1), 10 + kLedgerRetentionMs));
+	removeExpiredRuns(ledger, 11 + kLedgerRetentionMs);
 	cr_assert(ledger.runs.empty());
-	cr_assert(kLedgerKeepMs > kMaxDeadlineMs);
+	cr_assert(kLedgerRetentionMs > kMaxDeadlineMs);
 }
 
 namespace
