--- a/tests/office.h
+++ b/tests/office.h
@@ -73,6 +73,6 @@
 
 	inline void expectNoViolation(const lab::Violations& _violations)
 	{
-		cr_assert(0 == _violations.total(), "responses of other calls %d, truncated but cleanly ended %d, ran though reported as not run %d, ran twice %d, without response %d", _violations.foreign, _violations.cutClean, _violations.falseNotRun, _violations.doubled, _violations.silent);
+		cr_assert(0 == _violations.total(), "responses of other calls %d, truncated but cleanly ended %d, ran though reported as not run %d, ran twice %d, without response %d", _violations.foreign, _violations.cleanlyTruncated, _violations.ranDespiteNotRun, _violations.doubled, _violations.silent);
 	}
 } // namespace archdyke::tests
--- a/tests/test_crash_agent.cpp
+++ b/tests/test_crash_agent.cpp
@@ -19,7 +19,7 @@
 		{
 			lab::sendCall(load, lab::CallKind::Lookup, "crash-it", load.entries[std::size_t(call) % load.entries.size()], "alpha");
 			lab::pauseMs(300);
-			crashed += _office.reviveStubs();
+			crashed += _office.restartStoppedStubs();
 			lab::pauseMs(kRecoveryMs);
 		}
 		return crashed;
--- a/tests/test_leaving.cpp
+++ b/tests/test_leaving.cpp
@@ -117,8 +117,8 @@
 	expectCleanExit(office.agent("chat-1"));
 	expectCleanExit(office.agent("shop-1"));
 	expectNoViolation(lab::judge(result, office.runs()));
-	cr_assert(lab::figuresOf(result).broken == 0 && lab::figuresOf(result).unknown == 0);
-	cr_assert(lab::figuresOf(result).whole == lab::figuresOf(result).calls, "%u of %u whole", lab::figuresOf(result).whole, lab::figuresOf(result).calls);
+	cr_assert(lab::summarizeLoad(result).broken == 0 && lab::summarizeLoad(result).unknown == 0);
+	cr_assert(lab::summarizeLoad(result).whole == lab::summarizeLoad(result).calls, "%u of %u whole", lab::summarizeLoad(result).whole, lab::summarizeLoad(result).calls);
 }
 
 Test(stopping, an_entry_stops_without_cutting_anything)
@@ -130,7 +130,7 @@
 		entry.process->signal(SIGTERM);
 	});
 	expectCleanExit(entry);
-	const lab::LoadFigures figures = lab::figuresOf(result);
+	const lab::LoadSummary figures = lab::summarizeLoad(result);
 	expectNoViolation(lab::judge(result, office.runs()));
 	cr_assert(0 == figures.broken && 0 == figures.unknown);
 	cr_assert(figures.whole + figures.notRun == figures.calls, "%u whole and %u not run of %u", figures.whole, figures.notRun, figures.calls);
@@ -153,7 +153,7 @@
 	expectCleanExit(*office.entries()[0]);
 	expectCleanExit(office.agent("chat-3"));
 	expectCleanExit(office.agent("shop-2"));
-	const lab::LoadFigures figures = lab::figuresOf(result);
+	const lab::LoadSummary figures = lab::summarizeLoad(result);
 	expectNoViolation(lab::judge(result, office.runs()));
 	cr_assert(0 == figures.broken && 0 == figures.unknown, "%u broken, %u unknown", figures.broken, figures.unknown);
 }
--- a/tests/test_map.cpp
+++ b/tests/test_map.cpp
@@ -77,7 +77,7 @@
 
 	void expectOneMapInEachStep(lab::Office& _office)
 	{
-		cr_assert(_office.waitMapsSettled(20'000), "the groups did not settle on one map");
+		cr_assert(_office.waitUntilMapsSettled(20'000), "the groups did not settle on one map");
 		for (const nlohmann::json& record : _office.engineRecords())
 		{
 			cr_assert(0 == record["mapViolations"].get<int>(), "%s", record.dump().c_str());
@@ -113,7 +113,7 @@
 	const lab::LoadResult result = load.finish();
 	expectOneMapInEachStep(office);
 	expectNoViolation(lab::judge(result, office.runs()));
-	cr_assert(lab::figuresOf(result).whole == lab::figuresOf(result).calls);
+	cr_assert(lab::summarizeLoad(result).whole == lab::summarizeLoad(result).calls);
 }
 
 Test(map, agents_killed_in_a_switch_recover_their_vote)
--- a/tests/test_once.cpp
+++ b/tests/test_once.cpp
@@ -129,5 +129,5 @@
 	load.requests = 60;
 	const lab::LoadResult result = lab::runLoad(load);
 	expectNoViolation(lab::judge(result, office.runs()));
-	cr_assert(lab::figuresOf(result).calls == lab::figuresOf(result).whole);
+	cr_assert(lab::summarizeLoad(result).calls == lab::summarizeLoad(result).whole);
 }
--- a/tests/test_path.cpp
+++ b/tests/test_path.cpp
@@ -59,7 +59,7 @@
 	load.requests = 300;
 	const lab::LoadResult result = lab::runLoad(load);
 	expectNoViolation(lab::judge(result, office.runs()));
-	const lab::LoadFigures figures = lab::figuresOf(result);
+	const lab::LoadSummary figures = lab::summarizeLoad(result);
 	cr_assert(figures.calls == figures.whole, "%u of %u responses complete", figures.whole, figures.calls);
 }
 
@@ -94,7 +94,7 @@
 	std::future<lab::CallRecord> call = startLongStream(office, loadOptionsOf(office), "killed");
 	busyAgent(office, call).process->kill();
 	const lab::CallRecord record = call.get();
-	cr_assert(!record.whole && record.brokenTold && !record.cutClean && !record.foreign, "whole %d, broken told %d, cut clean %d, foreign %d, %s", record.whole, record.brokenTold, record.cutClean, record.foreign, record.reason.c_str());
+	cr_assert(!record.whole && record.visiblyBroken && !record.cleanlyTruncated && !record.foreign, "whole %d, broken told %d, cut clean %d, foreign %d, %s", record.whole, record.visiblyBroken, record.cleanlyTruncated, record.foreign, record.reason.c_str());
 }
 
 Test(path, a_killed_entry_never_ends_a_stream_cleanly)
@@ -104,7 +104,7 @@
 	std::future<lab::CallRecord> call = startLongStream(office, loadOptionsOf(office), "entry-killed");
 	office.entries().front()->process->kill();
 	const lab::CallRecord record = call.get();
-	cr_assert(!record.whole && !record.cutClean && !record.foreign);
+	cr_assert(!record.whole && !record.cleanlyTruncated && !record.foreign);
 }
 
 Test(path, a_killed_agent_costs_a_repeatable_call_nothing)
--- a/tools/chaos.cpp
+++ b/tools/chaos.cpp
@@ -334,7 +334,7 @@
 			bool waitUntilSettled()
 			{
 				const bool ready = this->office.waitReady(kSettleTimeoutMs);
-				const bool maps = this->office.waitMapsSettled(kSettleTimeoutMs);
+				const bool maps = this->office.waitUntilMapsSettled(kSettleTimeoutMs);
 				const std::uint64_t version = Json::parse(this->office.command({"status", "--platform", this->office.platform(), "--output", "json"}).output, nullptr, false).value("version", std::uint64_t(0));
 				const bool config = waitUntil(kInForceMs, [&] {
 					return std::all_of(this->office.entries().begin(), this->office.entries().end(), [&](const std::unique_ptr<Daemon>& _entry) {
@@ -351,7 +351,7 @@
 
 			void checkRecords(const LoadResult& _load)
 			{
-				this->result.load = figuresOf(_load);
+				this->result.load = summarizeLoad(_load);
 				this->result.calls = judge(_load, this->office.runs());
 				for (const Json& record : this->office.engineRecords())
 				{
--- a/tools/chaos.h
+++ b/tools/chaos.h
@@ -92,7 +92,7 @@
 	struct ChaosResult
 	{
 		std::map<std::string, int> faults; ///< Number of faults by kind.
-		LoadFigures load;
+		LoadSummary load;
 		Violations calls;
 		int mapViolations = 0;    ///< Steps on different maps.
 		int configReverts = 0;    ///< An entry returned to an older version.
--- a/tools/chaos_main.cpp
+++ b/tools/chaos_main.cpp
@@ -19,9 +19,9 @@
 			{
 				faults += fmt::format(" {}={}", kind, count);
 			}
-			const LoadFigures& load = _result.load;
+			const LoadSummary& load = _result.load;
 			std::cout << fmt::format("seed {}: {} calls ({} whole, {} not run, {} unknown, {} broken off), faults:{}, applies accepted {}\n", _seed, load.calls, load.whole, load.notRun, load.unknown, load.broken, faults, _result.applies);
-			std::cout << fmt::format("  violations {}: foreign {}, cut but clean {}, ran though told not run {}, doubled {}, silent {}, map {}, config reverts {}, config late {} (in doubt {}), work after leaving {}, dirty stops {}, settled {}\n", _result.violations(), _result.calls.foreign, _result.calls.cutClean, _result.calls.falseNotRun, _result.calls.doubled, _result.calls.silent, _result.mapViolations, _result.configReverts, _result.configLate, _result.configInDoubt, _result.workAfterLeaving, _result.dirtyStops, _result.settled);
+			std::cout << fmt::format("  violations {}: foreign {}, cut but clean {}, ran though told not run {}, doubled {}, silent {}, map {}, config reverts {}, config late {} (in doubt {}), work after leaving {}, dirty stops {}, settled {}\n", _result.violations(), _result.calls.foreign, _result.calls.cleanlyTruncated, _result.calls.ranDespiteNotRun, _result.calls.doubled, _result.calls.silent, _result.mapViolations, _result.configReverts, _result.configLate, _result.configInDoubt, _result.workAfterLeaving, _result.dirtyStops, _result.settled);
 			for (const std::string& note : _result.notes)
 			{
 				std::cout << "  note: " << note << "\n";
--- a/tools/demo_main.cpp
+++ b/tools/demo_main.cpp
@@ -39,7 +39,7 @@
 
 		void printFigures(const LoadResult& _result)
 		{
-			const LoadFigures figures = figuresOf(_result);
+			const LoadSummary figures = summarizeLoad(_result);
 			printLine(fmt::format("  outcomes: {} calls, {} whole, {} not run, {} unknown, {} broken off", figures.calls, figures.whole, figures.notRun, figures.unknown, figures.broken));
 			printLine(fmt::format("  first byte of streams: p50 {:.1f} ms, p95 {:.1f} ms, p99 {:.1f} ms", figures.firstP50, figures.firstP95, figures.firstP99));
 			printLine(fmt::format("  whole answers: p50 {:.1f} ms, p99 {:.1f} ms", figures.totalP50, figures.totalP99));
@@ -143,10 +143,10 @@
 			printFigures(result);
 			const bool after = printSteps(office, "after it");
 			const Violations violations = judge(result, office.runs());
-			printLine(fmt::format("judged by the stand-ins' records: foreign answers {}, cut answers that looked whole {}, ran though told not run {}, ran twice {}, left without an answer {}", violations.foreign, violations.cutClean, violations.falseNotRun, violations.doubled, violations.silent));
+			printLine(fmt::format("judged by the stand-ins' records: foreign answers {}, cut answers that looked whole {}, ran though told not run {}, ran twice {}, left without an answer {}", violations.foreign, violations.cleanlyTruncated, violations.ranDespiteNotRun, violations.doubled, violations.silent));
 			const bool stopped = stopAll(office);
 			printLine(stopped ? "all daemons stopped in order" : "a daemon did not stop in order");
-			const LoadFigures figures = figuresOf(result);
+			const LoadSummary figures = summarizeLoad(result);
 			const bool good = 0 == violations.total() && figures.calls == figures.whole && 0 == applied.exitCode && before && after && stopped;
 			printLine(good ? "nothing was lost, doubled, mixed up or cut" : "SOMETHING WENT WRONG, see above");
 			return good ? 0 : 1;
--- a/tools/lab.cpp
+++ b/tools/lab.cpp
@@ -197,7 +197,7 @@
 		}
 	}
 
-	std::size_t Office::reviveStubs()
+	std::size_t Office::restartStoppedStubs()
 	{
 		std::size_t revived = 0;
 		for (const UpstreamStub& stub : this->upstreamStubs)
--- a/tools/lab.h
+++ b/tools/lab.h
@@ -96,7 +96,7 @@
 
 		/// Restarts the stand-ins of plain upstreams that have exited, at their previous addresses.
 		/// @returns Number of restarted stand-ins.
-		std::size_t reviveStubs();
+		std::size_t restartStoppedStubs();
 
 		/// Adds or updates a daemon in the platform's list of VMs.
 		void announce(const Daemon& _daemon, const std::string& _state = "live");
@@ -125,7 +125,7 @@
 		/// Waits until the ranks of every group use the same map, no map switch is pending, and the
 		/// groups make steps.
 		/// @returns Whether that happened in time.
-		bool waitMapsSettled(Millis _timeoutMs);
+		bool waitUntilMapsSettled(Millis _timeoutMs);
 
 		/// Sends a control message to the stand-in of every group.
 		void controlEngines(const nlohmann::json& _control);
--- a/tools/lab_faults.cpp
+++ b/tools/lab_faults.cpp
@@ -116,7 +116,7 @@
 		return records;
 	}
 
-	bool Office::waitMapsSettled(Millis _timeoutMs)
+	bool Office::waitUntilMapsSettled(Millis _timeoutMs)
 	{
 		std::map<std::string, std::uint64_t> lastStep;
 		return waitUntil(_timeoutMs, [&] {
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -95,8 +95,8 @@
 			const StreamText stream = readStream(_body);
 			_record.whole = _cleanEnd && stream.done && stream.text == _expected;
 			_record.foreign = !_expected.starts_with(stream.text);
-			_record.cutClean = _cleanEnd && !_record.whole && !stream.error && !_record.foreign;
-			_record.brokenTold = !_record.whole && (stream.error || !_cleanEnd);
+			_record.cleanlyTruncated = _cleanEnd && !_record.whole && !stream.error && !_record.foreign;
+			_record.visiblyBroken = !_record.whole && (stream.error || !_cleanEnd);
 		}
 
 		void checkWhole(CallRecord& _record, const std::string& _body, const std::string& _expected)
@@ -106,7 +106,7 @@
 			const std::string text = readable ? body["choices"][0]["message"].value("content", "") : "";
 			_record.whole = text == _expected;
 			_record.foreign = readable && !_expected.starts_with(text);
-			_record.cutClean = !_record.whole && !_record.foreign;
+			_record.cleanlyTruncated = !_record.whole && !_record.foreign;
 		}
 
 		void checkPlain(CallRecord& _record, const std::string& _body)
@@ -116,7 +116,7 @@
 			const Json inner = readable ? Json::parse(body["body"].get<std::string>(), nullptr, false) : Json();
 			_record.whole = inner.is_object() && inner.value("token", "") == _record.token;
 			_record.foreign = readable && !_record.whole;
-			_record.cutClean = !readable;
+			_record.cleanlyTruncated = !readable;
 		}
 
 		Outcome readOutcome(const std::string& _text)
@@ -181,7 +181,7 @@
 		}
 		else if (!clean)
 		{
-			record.brokenTold = true;
+			record.visiblyBroken = true;
 		}
 		else if (CallKind::Whole == _kind)
 		{
--- a/tools/load.h
+++ b/tools/load.h
@@ -48,16 +48,16 @@
 	{
 		CallKind kind = CallKind::Streamed;
 		std::string token;
-		std::vector<Outcome> told; ///< Reported outcome of each attempt with a response.
-		int lost = 0;              ///< Number of attempts without a response.
-		int status = 0;            ///< HTTP status of the last response.
-		bool whole = false;        ///< The response is complete and belongs to this call.
-		bool foreign = false;      ///< The response has bytes that don't belong to this call.
-		bool cutClean = false;     ///< The response is truncated but ended without an error.
-		bool brokenTold = false;   ///< The response is truncated and the caller could detect it.
-		std::string reason;        ///< Reason of a final response that is not an upstream's.
-		double firstByteMs = -1.0; ///< Time from the scheduled start to the first byte, ms; negative: none.
-		double totalMs = -1.0;     ///< Time from the scheduled start to the end, ms.
+		std::vector<Outcome> told;     ///< Reported outcome of each attempt with a response.
+		int lost = 0;                  ///< Number of attempts without a response.
+		int status = 0;                ///< HTTP status of the last response.
+		bool whole = false;            ///< The response is complete and belongs to this call.
+		bool foreign = false;          ///< The response has bytes that don't belong to this call.
+		bool cleanlyTruncated = false; ///< The response is truncated but ended without an error.
+		bool visiblyBroken = false;    ///< The response is truncated and the caller could detect it.
+		std::string reason;            ///< Reason of a final response that is not an upstream's.
+		double firstByteMs = -1.0;     ///< Time from the scheduled start to the first byte, ms; negative: none.
+		double totalMs = -1.0;         ///< Time from the scheduled start to the end, ms.
 		std::string upstream;
 		Millis begunAt = 0; ///< On the clock of nowMs().
 	};
@@ -80,11 +80,11 @@
 	/// Violations found by comparing the callers' records with those of the stand-ins.
 	struct Violations
 	{
-		int foreign = 0;     ///< A response had bytes of another call.
-		int cutClean = 0;    ///< A truncated response ended as if it were complete.
-		int falseNotRun = 0; ///< The caller was told that the call did not run, but it ran.
-		int doubled = 0;     ///< A call that is not repeatable ran more than once.
-		int silent = 0;      ///< No attempt got a final response.
+		int foreign = 0;          ///< A response had bytes of another call.
+		int cleanlyTruncated = 0; ///< A truncated response ended as if it were complete.
+		int ranDespiteNotRun = 0; ///< The caller was told that the call did not run, but it ran.
+		int doubled = 0;          ///< A call that is not repeatable ran more than once.
+		int silent = 0;           ///< No attempt got a final response.
 
 		bool operator==(const Violations&) const = default;
 		int total() const;
@@ -95,7 +95,7 @@
 	Violations judge(const LoadResult& _result, const std::map<std::string, int>& _runs);
 
 	/// Summary of a load.
-	struct LoadFigures
+	struct LoadSummary
 	{
 		std::uint32_t calls = 0;
 		std::uint32_t whole = 0;
@@ -110,7 +110,7 @@
 		double totalP99 = 0.0;
 	};
 
-	LoadFigures figuresOf(const LoadResult& _result);
+	LoadSummary summarizeLoad(const LoadResult& _result);
 
 	/// @returns The _share quantile; 0 for no values.
 	double quantile(std::vector<double> _values, double _share);
--- a/tools/load_check.cpp
+++ b/tools/load_check.cpp
@@ -24,7 +24,7 @@
 
 	int Violations::total() const
 	{
-		return this->foreign + this->cutClean + this->falseNotRun + this->doubled + this->silent;
+		return this->foreign + this->cleanlyTruncated + this->ranDespiteNotRun + this->doubled + this->silent;
 	}
 
 	Violations judge(const LoadResult& _result, const std::map<std::string, int>& _runs)
@@ -38,8 +38,8 @@
 				return Outcome::NotRun == _outcome;
 			});
 			violations.foreign += call.foreign ? 1 : 0;
-			violations.cutClean += call.cutClean ? 1 : 0;
-			violations.falseNotRun += allNotRun && 0 < runs ? 1 : 0;
+			violations.cleanlyTruncated += call.cleanlyTruncated ? 1 : 0;
+			violations.ranDespiteNotRun += allNotRun && 0 < runs ? 1 : 0;
 			violations.doubled += CallKind::NotRepeatable == call.kind && 1 < runs ? 1 : 0;
 			violations.silent += call.told.empty() ? 1 : 0;
 		}
@@ -57,16 +57,16 @@
 		return _values[std::min(_values.size() - 1, 0 == rank ? 0 : rank - 1)];
 	}
 
-	LoadFigures figuresOf(const LoadResult& _result)
+	LoadSummary summarizeLoad(const LoadResult& _result)
 	{
-		LoadFigures figures;
+		LoadSummary figures;
 		std::vector<double> first;
 		std::vector<double> total;
 		for (const CallRecord& call : _result.calls)
 		{
 			figures.calls += 1;
 			figures.whole += call.whole ? 1 : 0;
-			figures.broken += call.brokenTold ? 1 : 0;
+			figures.broken += call.visiblyBroken ? 1 : 0;
 			const bool answered = !call.told.empty();
 			figures.notRun += answered && Outcome::NotRun == call.told.back() ? 1 : 0;
 			figures.unknown += answered && Outcome::Unknown == call.told.back() ? 1 : 0;
--- a/tools/load_main.cpp
+++ b/tools/load_main.cpp
@@ -28,7 +28,7 @@
 
 		void printReport(const LoadResult& _result, bool _json)
 		{
-			const LoadFigures figures = figuresOf(_result);
+			const LoadSummary figures = summarizeLoad(_result);
 			const nlohmann::json json{{"calls", figures.calls}, {"whole", figures.whole}, {"notRun", figures.notRun}, {"unknown", figures.unknown}, {"broken", figures.broken}, {"firstByteMs", {{"p50", figures.firstP50}, {"p95", figures.firstP95}, {"p99", figures.firstP99}}}, {"totalMs", {{"p50", figures.totalP50}, {"p99", figures.totalP99}}}, {"reasons", figures.reasons}};
 			if (_json)
 			{
