--- a/tools/engine_group.cpp
+++ b/tools/engine_group.cpp
@@ -8,11 +8,11 @@
 	namespace
 	{
 		constexpr std::uint32_t kPrefillTokensPerStep = 256;
-		/// Experts that a token activates in each layer.
+		/// Experts that a token activates per layer.
 		constexpr int kExpertsPerToken = 2;
 	} // namespace
 
-	HostMap dealtMap(std::uint32_t _ranks, std::uint32_t _experts, std::uint32_t _layers)
+	HostMap initialMap(std::uint32_t _ranks, std::uint32_t _experts, std::uint32_t _layers)
 	{
 		HostMap map;
 		std::vector<std::vector<std::uint32_t>> layer;
@@ -30,7 +30,7 @@
 	{
 		for (Rank& rank : this->ranks)
 		{
-			rank.current = dealtMap(this->settings.ranks, this->settings.experts, this->settings.layers);
+			rank.current = initialMap(this->settings.ranks, this->settings.experts, this->settings.layers);
 			rank.counts.assign(this->settings.layers, std::vector<std::uint64_t>(this->settings.experts, 0));
 		}
 		this->setPopularity(std::vector<double>(this->settings.experts, 1.0));
@@ -55,8 +55,8 @@
 
 	std::uint32_t EngineGroup::pickExpert(Random& _random) const
 	{
-		const double point = std::uniform_real_distribution<double>(0.0, this->cumulative.back())(_random);
-		const auto it = std::upper_bound(this->cumulative.begin(), this->cumulative.end(), point);
+		const double draw = std::uniform_real_distribution<double>(0.0, this->cumulative.back())(_random);
+		const auto it = std::upper_bound(this->cumulative.begin(), this->cumulative.end(), draw);
 		return std::min<std::uint32_t>(std::uint32_t(it - this->cumulative.begin()), this->settings.experts - 1);
 	}
 
@@ -87,7 +87,7 @@
 		}
 	}
 
-	/// @returns Tokens that the rank works on in this step.
+	/// @returns Number of tokens that the rank processes in this step.
 	std::uint32_t EngineGroup::advance(Rank& _rank)
 	{
 		this->admit(_rank);
@@ -116,7 +116,7 @@
 		return tokens;
 	}
 
-	/// Each layer waits for its busiest rank; skew is the mean of that over layers.
+	/// Each layer lasts as long as its busiest rank. Skew is the load of the busiest ranks relative to the mean, over all layers.
 	double EngineGroup::stepTime(Random& _random, const std::vector<std::uint32_t>& _tokens)
 	{
 		double busiestSum = 0.0;
@@ -146,9 +146,9 @@
 		if (0.0 < meanSum)
 		{
 			const double skew = busiestSum / meanSum - 1.0;
-			this->figures.steps += 1;
-			this->figures.skewSum += skew;
-			this->figures.worstSkew = std::max(this->figures.worstSkew, skew);
+			this->statistics.steps += 1;
+			this->statistics.skewSum += skew;
+			this->statistics.worstSkew = std::max(this->statistics.worstSkew, skew);
 		}
 		return this->settings.stepUs + this->settings.tokenUs * busiestSum / double(this->settings.layers);
 	}
@@ -157,8 +157,8 @@
 	{
 		const std::uint64_t formation = this->ranks.front().map.formation;
 		return std::all_of(this->ranks.begin(), this->ranks.end(), [&](const Rank& _rank) {
-			const bool holds = 0 != _rank.map.armed && _rank.map.armedBoundary <= this->stepCount + 1;
-			return _rank.alive && !holds && formation == _rank.map.formation;
+			const bool isStalled = 0 != _rank.map.armed && _rank.map.armedBoundary <= this->stepCount + 1;
+			return _rank.alive && !isStalled && formation == _rank.map.formation;
 		});
 	}
 
@@ -185,7 +185,7 @@
 		return this->stepTime(_random, tokens);
 	}
 
-	bool EngineGroup::passesFence(Rank& _rank, std::uint64_t _fence)
+	bool EngineGroup::acceptFence(Rank& _rank, std::uint64_t _fence)
 	{
 		if (this->settings.checksFence && _fence < _rank.map.fence)
 		{
@@ -198,7 +198,7 @@
 	bool EngineGroup::stageMap(std::uint32_t _rank, std::uint64_t _fence, const HostMap& _map)
 	{
 		Rank& rank = this->ranks[_rank];
-		if (!this->passesFence(rank, _fence))
+		if (!this->acceptFence(rank, _fence))
 		{
 			return false;
 		}
@@ -219,9 +219,9 @@
 		{
 			return true;
 		}
-		const bool open = 0 == rank.map.armed && 0 == rank.switchAt && _number > rank.map.floor && _number > rank.map.decided;
-		const bool fits = _formation == rank.map.formation && _fromEpoch == rank.map.epoch && this->stepCount + 1 < _boundary && rank.staged.contains(_digest);
-		if (!open || !fits || !this->passesFence(rank, _fence))
+		const bool isAvailable = 0 == rank.map.armed && 0 == rank.switchAt && _number > rank.map.floor && _number > rank.map.decided;
+		const bool isApplicable = _formation == rank.map.formation && _fromEpoch == rank.map.epoch && this->stepCount + 1 < _boundary && rank.staged.contains(_digest);
+		if (!isAvailable || !isApplicable || !this->acceptFence(rank, _fence))
 		{
 			return false;
 		}
@@ -272,7 +272,7 @@
 	bool EngineGroup::form(std::uint32_t _rank, std::uint64_t _formation, std::uint64_t _digest, std::uint64_t _fence)
 	{
 		Rank& rank = this->ranks[_rank];
-		if (_formation <= rank.map.formation || !rank.staged.contains(_digest) || !this->passesFence(rank, _fence))
+		if (_formation <= rank.map.formation || !rank.staged.contains(_digest) || !this->acceptFence(rank, _fence))
 		{
 			return false;
 		}
@@ -322,9 +322,9 @@
 		return this->ranks[_rank].current.hosts;
 	}
 
-	StepFigures EngineGroup::takeFigures()
+	StepStatistics EngineGroup::takeStatistics()
 	{
-		return std::exchange(this->figures, {});
+		return std::exchange(this->statistics, {});
 	}
 
 	std::uint32_t EngineGroup::load(std::uint32_t _rank) const
--- a/tools/engine_group.h
+++ b/tools/engine_group.h
@@ -1,5 +1,5 @@
-/// Model of a group of engine ranks that advance in lock-step on an expert map. Pure: the
-/// stand-in drives it with real steps, the benches with counted ones.
+/// Model of a group of engine ranks that advance in lock-step on an expert map. It uses neither clock
+/// nor threads: its caller runs each step, as the engine stub does in real time.
 #pragma once
 
 #include <cstdint>
@@ -25,21 +25,21 @@
 		bool operator==(const HostMap&) const = default;
 	};
 
-	/// Sizes and times of a group.
+	/// Dimensions and timing of a group.
 	struct GroupOptions
 	{
 		std::string name = "group";
 		std::uint32_t ranks = 4;
 		std::uint32_t experts = 16;
 		std::uint32_t layers = 4;
-		std::uint32_t batch = 16;          ///< Sequences that a rank advances at once.
-		std::uint32_t cachedPrefixes = 64; ///< Prefixes that a rank keeps.
-		double stepUs = 4500.0;            ///< Of an idle step.
-		double tokenUs = 20.0;             ///< For each token on the busiest rank, mean over layers.
+		std::uint32_t batch = 16;          ///< Sequences that a rank runs concurrently.
+		std::uint32_t cachedPrefixes = 64; ///< Capacity of a rank's prefix cache.
+		double stepUs = 4500.0;            ///< Duration of a step without tokens.
+		double tokenUs = 20.0;             ///< Added per token of the busiest rank, as a mean over the layers.
 		bool checksFence = true;
 	};
 
-	/// One request in a rank.
+	/// One request at a rank.
 	struct Sequence
 	{
 		std::string id;
@@ -47,34 +47,34 @@
 		std::uint64_t prefix = 0; ///< Hash of its prefix.
 		std::uint32_t promptTokens = 0;
 		std::uint32_t maxTokens = 0;
-		std::uint32_t prefillLeft = 0; ///< Steps.
+		std::uint32_t prefillLeft = 0; ///< Remaining steps.
 		std::uint32_t produced = 0;
 		bool cancelled = false;
 		bool prefixHit = false;
 	};
 
-	/// What a rank knows of the map switch; its answer to every order.
+	/// Map state of a rank; returned in response to every order.
 	struct RankMap
 	{
 		std::uint64_t formation = 1;
 		std::uint64_t epoch = 0;
 		std::uint64_t fence = 0;
 		std::uint64_t stagedDigest = 0;
-		std::uint64_t armed = 0; ///< Number of the proposal it is armed for.
+		std::uint64_t armed = 0; ///< Number of the proposal that it is armed for; 0 for none.
 		std::uint64_t armedBoundary = 0;
 		std::uint64_t armedDigest = 0;
-		std::uint64_t floor = 0;   ///< Proposals up to this one are refused for good.
-		std::uint64_t decided = 0; ///< Last proposal that it was released from.
+		std::uint64_t floor = 0;   ///< Proposals up to this number are refused permanently.
+		std::uint64_t decided = 0; ///< Last proposal that it was released from, by commit or abort.
 		bool decidedCommit = false;
 
 		bool operator==(const RankMap&) const = default;
 	};
 
-	/// Figures of the steps since they were last taken.
-	struct StepFigures
+	/// Statistics of the steps since the last takeStatistics().
+	struct StepStatistics
 	{
 		std::uint64_t steps = 0;
-		double skewSum = 0.0; ///< Slowest rank over mean, minus 1.
+		double skewSum = 0.0; ///< Sum over the steps of the busiest rank's load relative to the mean, minus 1.
 		double worstSkew = 0.0;
 		std::uint64_t heldSteps = 0;
 	};
@@ -86,24 +86,24 @@
 
 		const GroupOptions& options() const;
 
-		/// Gives a rank a request. It is admitted when there is room in the batch.
+		/// Queues a request at a rank. It starts when the batch has a free place.
 		void add(std::uint32_t _rank, std::shared_ptr<Sequence> _sequence);
 
-		/// @returns Whether a step can run: all ranks alive and none holds at a boundary.
+		/// @returns Whether a step can run: all ranks are alive, in the same formation and none stalls at a boundary.
 		bool canStep() const;
 
-		/// Runs a step. @returns Its time, us.
+		/// Runs a step. @returns Its duration, us.
 		double step(Random& _random);
 
-		/// Called for each token: the sequence and whether it was its last.
+		/// Called for each token, with its sequence and whether it is the last one.
 		std::function<void(const Sequence&, bool)> onToken;
 
-		// The map switch, as the engine publishes it.
+		// Orders of a map switch, as in the engine's API; each returns whether it was accepted.
 		bool stageMap(std::uint32_t _rank, std::uint64_t _fence, const HostMap& _map);
 		bool arm(std::uint32_t _rank, std::uint64_t _number, std::uint64_t _formation, std::uint64_t _fromEpoch, std::uint64_t _boundary, std::uint64_t _digest, std::uint64_t _fence);
 		bool refuse(std::uint32_t _rank, std::uint64_t _number);
 		bool release(std::uint32_t _rank, std::uint64_t _number, bool _commit);
-		/// Joins a new formation on a staged map; a step runs once all ranks have.
+		/// Joins a new formation on a staged map. Steps run once all ranks have joined.
 		bool form(std::uint32_t _rank, std::uint64_t _formation, std::uint64_t _digest, std::uint64_t _fence);
 
 		const RankMap& rankMap(std::uint32_t _rank) const;
@@ -113,7 +113,7 @@
 		void setPopularity(std::vector<double> _weights);
 		const std::vector<std::vector<std::uint64_t>>& counts(std::uint32_t _rank) const;
 		const std::vector<std::vector<std::vector<std::uint32_t>>>& hosts(std::uint32_t _rank) const;
-		StepFigures takeFigures();
+		StepStatistics takeStatistics();
 		std::uint32_t load(std::uint32_t _rank) const;
 
 	private:
@@ -122,16 +122,16 @@
 			RankMap map;
 			std::map<std::uint64_t, HostMap> staged; ///< By digest.
 			HostMap current;
-			HostMap next;               ///< Committed, in use from switchAt on.
-			std::uint64_t switchAt = 0; ///< Step; 0 for none.
+			HostMap next;               ///< Committed map, used from step switchAt on.
+			std::uint64_t switchAt = 0; ///< Step number; 0 for none.
 			bool alive = true;
 			std::deque<std::shared_ptr<Sequence>> waiting;
 			std::vector<std::shared_ptr<Sequence>> running;
-			std::list<std::uint64_t> cache;                 ///< Prefixes, the last used first.
+			std::list<std::uint64_t> cache;                 ///< Prefixes, most recently used first.
 			std::vector<std::vector<std::uint64_t>> counts; ///< Tokens by layer and expert.
 		};
 
-		bool passesFence(Rank& _rank, std::uint64_t _fence);
+		bool acceptFence(Rank& _rank, std::uint64_t _fence);
 		void switchMap(Rank& _rank, const HostMap& _map);
 		void admit(Rank& _rank);
 		std::uint32_t advance(Rank& _rank);
@@ -140,12 +140,12 @@
 
 		GroupOptions settings;
 		std::vector<Rank> ranks;
-		std::vector<double> cumulative; ///< Popularity of experts, summed up.
+		std::vector<double> cumulative; ///< Cumulative popularity of the experts.
 		std::uint64_t stepCount = 0;
 		std::uint64_t violations = 0;
-		StepFigures figures;
+		StepStatistics statistics;
 	};
 
-	/// @returns Experts dealt to ranks in order, one host each.
-	HostMap dealtMap(std::uint32_t _ranks, std::uint32_t _experts, std::uint32_t _layers);
+	/// @returns The initial map: consecutive blocks of experts on consecutive ranks, one host per expert.
+	HostMap initialMap(std::uint32_t _ranks, std::uint32_t _experts, std::uint32_t _layers);
 } // namespace archdyke::stub
--- a/tools/engine_words.h
+++ b/tools/engine_words.h
@@ -1,4 +1,4 @@
-/// The words that the engine stand-in answers a prompt with; the load tool checks them.
+/// Words of the engine stub's response to a prompt; the load tool checks responses against them.
 #pragma once
 
 #include <fmt/format.h>
@@ -8,20 +8,20 @@
 
 namespace archdyke::stub
 {
-	/// @returns The word at a place of the answer to a prompt, by the prompt's hash.
-	inline std::string wordAt(std::uint64_t _prompt, std::uint32_t _place)
+	/// @returns The word at a position of the response to the prompt with this hash.
+	inline std::string wordAt(std::uint64_t _prompt, std::uint32_t _index)
 	{
-		const std::string seed = fmt::format("{:x}/{}", _prompt, _place);
+		const std::string seed = fmt::format("{:x}/{}", _prompt, _index);
 		return fmt::format("w{:04x} ", stableHash(seed) & 0xffff);
 	}
 
-	/// @returns The whole answer to a prompt, given as the JSON text of its messages.
+	/// @returns The complete response to a prompt, given as the JSON text of its messages.
 	inline std::string answerText(const std::string& _prompt, std::uint32_t _tokens)
 	{
 		std::string text;
-		for (std::uint32_t place = 0; place < _tokens; ++place)
+		for (std::uint32_t index = 0; index < _tokens; ++index)
 		{
-			text += wordAt(stableHash(_prompt), place);
+			text += wordAt(stableHash(_prompt), index);
 		}
 		return text;
 	}
--- a/tools/stub_engine.cpp
+++ b/tools/stub_engine.cpp
@@ -1,13 +1,13 @@
-/// Stand-in for a group of model engine ranks: one process, one HTTP address a rank.
+/// Stub of a group of model engine ranks: one process with one HTTP server per rank.
 ///
 /// Options: {"group", "ranks", "experts", "layers", "batch", "stepUs", "checksFence"}.
 /// Routes of a rank:
-///   POST /v1/chat/completions            OpenAI's, streamed or whole
+///   POST /v1/chat/completions            OpenAI API, streamed or in one response
 ///   GET  /health, /load
 ///   GET  /map                            formation, epoch, step, armed, floor, decided; ?counts=1 adds counts
 ///   POST /map                            {"order": stage|arm|refuse|release|form, ...}
-///   GET  /record                         what ran (by the field "user" or the request id),
-///                                        map violations, step figures since the last record
+///   GET  /record                         runs by request (field "user", else the request id), map
+///                                        violations, step statistics since the last GET /record
 ///   POST /control                        {"alive", "popularity", "stallMs"}
 #include <absl/container/flat_hash_map.h>
 #include <absl/synchronization/mutex.h>
@@ -30,7 +30,7 @@
 	{
 		using Json = nlohmann::json;
 
-		/// A request as its HTTP thread follows it.
+		/// Progress of a request, for the HTTP thread that serves it.
 		struct Stream
 		{
 			std::shared_ptr<Sequence> sequence = std::make_shared<Sequence>();
@@ -51,12 +51,12 @@
 			return options;
 		}
 
-		std::string promptOf(const Json& _body)
+		std::string promptText(const Json& _body)
 		{
 			return _body.contains("messages") ? _body["messages"].dump() : _body.value("prompt", "");
 		}
 
-		std::string chunk(const std::string& _id, const std::string& _word, bool _last)
+		std::string eventOf(const std::string& _id, const std::string& _word, bool _last)
 		{
 			const Json choice{{"index", 0}, {"delta", {{"content", _word}}}, {"finish_reason", _last ? Json("length") : Json(nullptr)}};
 			return "data: " + Json{{"id", _id}, {"object", "chat.completion.chunk"}, {"choices", Json::array({choice})}}.dump() + "\n\n";
@@ -76,7 +76,7 @@
 			{
 				this->group.onToken = [this](const Sequence& _sequence, bool _last) {
 					this->mutex.AssertHeld();
-					this->hearToken(_sequence, _last);
+					this->updateStream(_sequence, _last);
 				};
 			}
 
@@ -88,7 +88,7 @@
 					_response.status = 200;
 				});
 				_server.Post("/v1/chat/completions", [this, _rank](const Request& _request, Response& _response) {
-					this->complete(_rank, _request, _response);
+					this->serveCompletion(_rank, _request, _response);
 				});
 				_server.Get("/load", [this, _rank](const Request&, Response& _response) {
 					absl::MutexLock lock(&this->mutex);
@@ -99,7 +99,7 @@
 					_response.set_content(this->mapState(_rank, _request.has_param("counts")).dump(), "application/json");
 				});
 				_server.Post("/map", [this, _rank](const Request& _request, Response& _response) {
-					this->orderMap(_rank, Json::parse(_request.body), _response);
+					this->applyMapOrder(_rank, Json::parse(_request.body), _response);
 				});
 				_server.Get("/record", [this](const Request&, Response& _response) {
 					_response.set_content(this->record().dump(), "application/json");
@@ -142,7 +142,7 @@
 				return this->group.canStep() && this->stalledUntil <= nowMs();
 			}
 
-			void hearToken(const Sequence& _sequence, bool _last) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
+			void updateStream(const Sequence& _sequence, bool _last) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
 			{
 				const auto it = this->streams.find(&_sequence);
 				if (this->streams.end() != it)
@@ -152,11 +152,11 @@
 				}
 			}
 
-			std::shared_ptr<Stream> begin(std::uint32_t _rank, const httplib::Request& _request, const Json& _body)
+			std::shared_ptr<Stream> startStream(std::uint32_t _rank, const httplib::Request& _request, const Json& _body)
 			{
 				auto stream = std::make_shared<Stream>();
 				Sequence& sequence = *stream->sequence;
-				const std::string prompt = promptOf(_body);
+				const std::string prompt = promptText(_body);
 				sequence.id = _request.get_header_value("X-Request-Id");
 				sequence.prompt = stableHash(prompt);
 				sequence.prefix = stableHash(prompt.substr(0, 256));
@@ -169,26 +169,26 @@
 				return stream;
 			}
 
-			/// Waits until more than _seen tokens are there.
-			/// @returns Their number; fewer when the rank died.
-			std::uint32_t await(const std::shared_ptr<Stream>& _stream, std::uint32_t _seen)
+			/// Waits until more than _sent tokens are produced, the sequence is cancelled or the engine stops.
+			/// @returns The number of produced tokens; not above _sent when the rank died.
+			std::uint32_t awaitTokens(const std::shared_ptr<Stream>& _stream, std::uint32_t _sent)
 			{
 				absl::MutexLock lock(&this->mutex);
-				const auto more = [&]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
-					return _seen < _stream->produced || _stream->sequence->cancelled || this->stopping;
+				const auto hasMore = [&]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
+					return _sent < _stream->produced || _stream->sequence->cancelled || this->stopping;
 				};
-				this->mutex.Await(absl::Condition(&more));
+				this->mutex.Await(absl::Condition(&hasMore));
 				return _stream->produced;
 			}
 
-			void end(const std::shared_ptr<Stream>& _stream)
+			void endStream(const std::shared_ptr<Stream>& _stream)
 			{
 				absl::MutexLock lock(&this->mutex);
 				_stream->sequence->cancelled = true;
 				this->streams.erase(_stream->sequence.get());
 			}
 
-			void complete(std::uint32_t _rank, const httplib::Request& _request, httplib::Response& _response)
+			void serveCompletion(std::uint32_t _rank, const httplib::Request& _request, httplib::Response& _response)
 			{
 				const Json body = Json::parse(_request.body, nullptr, false);
 				if (!body.is_object())
@@ -196,49 +196,49 @@
 					_response.status = 400;
 					return;
 				}
-				const std::shared_ptr<Stream> stream = this->begin(_rank, _request, body);
+				const std::shared_ptr<Stream> stream = this->startStream(_rank, _request, body);
 				if (body.value("stream", false))
 				{
-					const auto seen = std::make_shared<std::uint32_t>(0);
+					const auto sent = std::make_shared<std::uint32_t>(0);
 					_response.set_chunked_content_provider(
-					    "text/event-stream", [this, stream, seen](std::size_t, httplib::DataSink& _sink) {
-						    return this->send(stream, *seen, _sink);
+					    "text/event-stream", [this, stream, sent](std::size_t, httplib::DataSink& _sink) {
+						    return this->writeTokens(stream, *sent, _sink);
 					    },
 					    [this, stream](bool) {
-						this->end(stream);
+						this->endStream(stream);
 					    });
 					return;
 				}
 				std::string text;
-				for (std::uint32_t seen = 0; seen < stream->sequence->maxTokens; ++seen)
+				for (std::uint32_t sent = 0; sent < stream->sequence->maxTokens; ++sent)
 				{
-					if (this->await(stream, seen) <= seen)
+					if (this->awaitTokens(stream, sent) <= sent)
 					{
 						_response.status = 500;
-						this->end(stream);
+						this->endStream(stream);
 						return;
 					}
-					text += wordAt(stream->sequence->prompt, seen);
+					text += wordAt(stream->sequence->prompt, sent);
 				}
 				const Json choice{{"index", 0}, {"message", {{"role", "assistant"}, {"content", text}}}, {"finish_reason", "length"}};
 				_response.set_content(Json{{"id", stream->sequence->id}, {"object", "chat.completion"}, {"choices", Json::array({choice})}}.dump(), "application/json");
-				this->end(stream);
+				this->endStream(stream);
 			}
 
-			bool send(const std::shared_ptr<Stream>& _stream, std::uint32_t& _seen, httplib::DataSink& _sink)
+			bool writeTokens(const std::shared_ptr<Stream>& _stream, std::uint32_t& _sent, httplib::DataSink& _sink)
 			{
-				const std::uint32_t produced = this->await(_stream, _seen);
-				if (produced <= _seen)
+				const std::uint32_t produced = this->awaitTokens(_stream, _sent);
+				if (produced <= _sent)
 				{
 					return false;
 				}
 				std::string bytes;
-				while (_seen < produced)
+				while (_sent < produced)
 				{
-					const std::uint32_t place = _seen++;
-					bytes += chunk(_stream->sequence->id, wordAt(_stream->sequence->prompt, place), _seen == _stream->sequence->maxTokens);
+					const std::uint32_t index = _sent++;
+					bytes += eventOf(_stream->sequence->id, wordAt(_stream->sequence->prompt, index), _sent == _stream->sequence->maxTokens);
 				}
-				const bool last = _seen == _stream->sequence->maxTokens;
+				const bool last = _sent == _stream->sequence->maxTokens;
 				bytes += last ? "data: [DONE]\n\n" : "";
 				if (!_sink.write(bytes.data(), bytes.size()))
 				{
@@ -267,7 +267,7 @@
 				return json;
 			}
 
-			void orderMap(std::uint32_t _rank, const Json& _body, httplib::Response& _response)
+			void applyMapOrder(std::uint32_t _rank, const Json& _body, httplib::Response& _response)
 			{
 				absl::MutexLock lock(&this->mutex);
 				const std::string order = _body.at("order");
@@ -300,22 +300,22 @@
 				{
 					this->contexts[_rank] = _body.value("context", "");
 				}
-				Json answer = this->mapState(_rank, false);
-				answer["done"] = done;
-				_response.set_content(answer.dump(), "application/json");
+				Json state = this->mapState(_rank, false);
+				state["done"] = done;
+				_response.set_content(state.dump(), "application/json");
 			}
 
 			Json record()
 			{
 				absl::MutexLock lock(&this->mutex);
-				const StepFigures figures = this->group.takeFigures();
-				const double steps = double(std::max<std::uint64_t>(1, figures.steps));
+				const StepStatistics statistics = this->group.takeStatistics();
+				const double steps = double(std::max<std::uint64_t>(1, statistics.steps));
 				Json epochs = Json::array();
 				for (std::uint32_t rank = 0; rank < this->group.options().ranks; ++rank)
 				{
 					epochs.push_back(this->group.rankMap(rank).epoch);
 				}
-				return {{"group", this->group.options().name}, {"runs", this->runs}, {"mapViolations", this->group.mapViolations()}, {"epochs", epochs}, {"step", this->group.stepNumber()}, {"busySteps", figures.steps}, {"meanSkew", figures.skewSum / steps}, {"worstSkew", figures.worstSkew}};
+				return {{"group", this->group.options().name}, {"runs", this->runs}, {"mapViolations", this->group.mapViolations()}, {"epochs", epochs}, {"step", this->group.stepNumber()}, {"busySteps", statistics.steps}, {"meanSkew", statistics.skewSum / steps}, {"worstSkew", statistics.worstSkew}};
 			}
 
 			void control(std::uint32_t _rank, const Json& _body)
@@ -340,7 +340,7 @@
 			EngineGroup group ABSL_GUARDED_BY(mutex);
 			absl::flat_hash_map<const Sequence*, std::shared_ptr<Stream>> streams ABSL_GUARDED_BY(mutex);
 			std::map<std::string, int> runs ABSL_GUARDED_BY(mutex);
-			std::map<std::uint32_t, std::string> contexts ABSL_GUARDED_BY(mutex); ///< Kept while armed.
+			std::map<std::uint32_t, std::string> contexts ABSL_GUARDED_BY(mutex); ///< By rank, of the proposal that it was last armed for.
 			Millis stalledUntil ABSL_GUARDED_BY(mutex) = 0;
 			std::atomic<bool> stopping{false};
 		};
--- a/tools/stub_platform.cpp
+++ b/tools/stub_platform.cpp
@@ -1,5 +1,5 @@
-/// Stand-in for the platform: transactional table, object store, VM list, with switches
-/// for outage, slowness, a lost answer and a list that lags.
+/// Stub of the platform: transactional table, object store and VM list. Injects outages, delays,
+/// lost responses and a stale VM list.
 ///
 /// Options: {"address"?}. Routes:
 ///   POST /table/transact, GET /table/scan, PUT and GET /objects/NAME, GET /vms
@@ -26,7 +26,7 @@
 		{
 			std::uint64_t version = 0;
 			std::string value;
-			Millis expiresAt = 0; ///< 0: never.
+			Millis expiresAt = 0; ///< 0 when it does not expire.
 		};
 
 		struct VmRecord
@@ -40,8 +40,8 @@
 		{
 			bool outage = false;
 			Millis delayMs = 0;
-			int loseAnswers = 0; ///< That many writes take effect and get no answer.
-			Millis vmLagMs = 0;
+			int responsesToLose = 0; ///< Number of further writes that take effect but whose response is lost.
+			Millis vmListLagMs = 0;
 		};
 
 		class Platform
@@ -52,28 +52,28 @@
 				using Request = httplib::Request;
 				using Response = httplib::Response;
 				_server.Post("/table/transact", [this](const Request& _request, Response& _response) {
-					this->serve(_response, [&] {
+					this->serveWithFaults(_response, [&] {
 						this->transact(Json::parse(_request.body), _response);
 					});
 				});
 				_server.Get("/table/scan", [this](const Request& _request, Response& _response) {
-					this->serve(_response, [&] {
+					this->serveWithFaults(_response, [&] {
 						this->scan(_request.get_param_value("prefix"), _response);
 					});
 				});
 				_server.Put(R"(/objects/(.+))", [this](const Request& _request, Response& _response) {
-					this->serve(_response, [&] {
+					this->serveWithFaults(_response, [&] {
 						const std::lock_guard lock(this->mutex);
 						this->objects[_request.matches[1]] = _request.body;
 					});
 				});
 				_server.Get(R"(/objects/(.+))", [this](const Request& _request, Response& _response) {
-					this->serve(_response, [&] {
+					this->serveWithFaults(_response, [&] {
 						this->getObject(_request.matches[1], _response);
 					});
 				});
 				_server.Get("/vms", [this](const Request& _request, Response& _response) {
-					this->serve(_response, [&] {
+					this->serveWithFaults(_response, [&] {
 						this->listVms(_request, _response);
 					});
 				});
@@ -91,20 +91,20 @@
 
 		private:
 			template <typename Work>
-			void serve(httplib::Response& _response, Work _work)
+			void serveWithFaults(httplib::Response& _response, Work _work)
 			{
-				Faults now;
+				Faults active;
 				{
 					const std::lock_guard lock(this->mutex);
-					now = this->faults;
+					active = this->faults;
 					this->calls += 1;
 				}
-				if (0 < now.delayMs)
+				if (0 < active.delayMs)
 				{
 					absl::Notification never;
-					never.WaitForNotificationWithTimeout(absl::Milliseconds(now.delayMs));
+					never.WaitForNotificationWithTimeout(absl::Milliseconds(active.delayMs));
 				}
-				if (now.outage)
+				if (active.outage)
 				{
 					_response.status = 503;
 					return;
@@ -115,8 +115,8 @@
 			Row rowAt(const std::string& _key)
 			{
 				const auto it = this->rows.find(_key);
-				const bool there = this->rows.end() != it && (0 == it->second.expiresAt || nowMs() < it->second.expiresAt);
-				return there ? it->second : Row{};
+				const bool exists = this->rows.end() != it && (0 == it->second.expiresAt || nowMs() < it->second.expiresAt);
+				return exists ? it->second : Row{};
 			}
 
 			static Json toJson(const std::string& _key, const Row& _row)
@@ -153,10 +153,10 @@
 						this->write(write);
 					}
 				}
-				const bool lost = !_body.at("writes").empty() && failed.empty() && 0 < this->faults.loseAnswers;
-				if (lost)
+				const bool loseResponse = !_body.at("writes").empty() && failed.empty() && 0 < this->faults.responsesToLose;
+				if (loseResponse)
 				{
-					this->faults.loseAnswers -= 1;
+					this->faults.responsesToLose -= 1;
 					_response.status = 504;
 					return;
 				}
@@ -201,7 +201,7 @@
 				_response.set_content(it->second, "application/octet-stream");
 			}
 
-			/// The list as seen from a zone, without the changes of the last vmLagMs.
+			/// Returns the list as seen from a zone, without VMs that changed in the last vmLagMs.
 			void listVms(const httplib::Request& _request, httplib::Response& _response)
 			{
 				const std::lock_guard lock(this->mutex);
@@ -211,7 +211,7 @@
 				Json list = Json::array();
 				for (const auto& [name, record] : this->vms)
 				{
-					if (record.revision <= since || nowMs() - record.changedAt < this->faults.vmLagMs)
+					if (record.revision <= since || nowMs() - record.changedAt < this->faults.vmListLagMs)
 					{
 						continue;
 					}
@@ -241,8 +241,8 @@
 				const std::lock_guard lock(this->mutex);
 				this->faults.outage = _faults.value("outage", this->faults.outage);
 				this->faults.delayMs = _faults.value("delayMs", this->faults.delayMs);
-				this->faults.loseAnswers = _faults.value("loseAnswers", this->faults.loseAnswers);
-				this->faults.vmLagMs = _faults.value("vmLagMs", this->faults.vmLagMs);
+				this->faults.responsesToLose = _faults.value("loseAnswers", this->faults.responsesToLose);
+				this->faults.vmListLagMs = _faults.value("vmLagMs", this->faults.vmListLagMs);
 			}
 
 			std::mutex mutex;
--- a/tools/stub_proxy.cpp
+++ b/tools/stub_proxy.cpp
@@ -1,12 +1,12 @@
-/// TCP proxy that injects faults: one process, many links.
+/// TCP proxy that injects faults: one process with many links.
 ///
 /// Options: {}. Control routes:
-///   POST /links      {"name", "target"}           answers {"address"}
-///   GET  /counts     bytes that went over each link
+///   POST /links      {"name", "target"}           returns {"address"}
+///   GET  /counts     bytes forwarded on each link
 ///   POST /faults     {"name", "delayMs"?, "cutToTarget"?, "cutToClient"?, "holdExisting"?, "reset"?}
-/// cutTo... holds bytes back without closing: they are delivered late, once it is taken
-/// back. holdExisting does so for the connections there are, and lets new ones through.
-/// reset breaks all connections of the link now.
+/// cutToTarget and cutToClient hold bytes back in one direction without closing the connection; they
+/// are delivered once the fault is cleared. holdExisting does the same, in both directions, for the
+/// connections that are open now; new ones are not affected. reset closes all connections of the link.
 #include <absl/synchronization/mutex.h>
 #include <absl/time/time.h>
 #include <arpa/inet.h>
@@ -54,15 +54,15 @@
 			    : target(toSockaddr(parseAddress(_target)))
 			    , listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))
 			{
-				sockaddr_in any = toSockaddr({"127.0.0.1", 0});
-				if (0 != ::bind(this->listener, reinterpret_cast<sockaddr*>(&any), sizeof(any)))
+				sockaddr_in local = toSockaddr({"127.0.0.1", 0});
+				if (0 != ::bind(this->listener, reinterpret_cast<sockaddr*>(&local), sizeof(local)))
 				{
-					throw std::runtime_error("can't listen on the loopback");
+					throw std::runtime_error("failed to bind a port on the loopback interface");
 				}
 				::listen(this->listener, 1024);
-				socklen_t size = sizeof(any);
-				::getsockname(this->listener, reinterpret_cast<sockaddr*>(&any), &size);
-				this->port = ntohs(any.sin_port);
+				socklen_t size = sizeof(local);
+				::getsockname(this->listener, reinterpret_cast<sockaddr*>(&local), &size);
+				this->port = ntohs(local.sin_port);
 				std::thread([this] {
 					this->acceptLoop();
 				})
@@ -74,10 +74,10 @@
 				return this->port;
 			}
 
-			/// @returns Bytes handed on so far, both ways.
+			/// @returns Bytes forwarded so far, in both directions.
 			std::uint64_t bytes() const
 			{
-				return this->handedOn;
+				return this->forwardedBytes;
 			}
 
 			void setFaults(const Json& _json)
@@ -120,12 +120,12 @@
 
 			void serve(int _client)
 			{
-				// A cut in either direction holds up the handshake's first bytes, not the
-				// connection itself: TCP's own retries are not modelled.
+				// A cut delays the first bytes of a connection, not the TCP handshake: retries of
+				// TCP itself are not modelled.
 				const int upstream = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-				const int yes = 1;
-				::setsockopt(upstream, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
-				::setsockopt(_client, IPPROTO_TCP, TCP_NODELAY, &yes, sizeof(yes));
+				const int enable = 1;
+				::setsockopt(upstream, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof(enable));
+				::setsockopt(_client, IPPROTO_TCP, TCP_NODELAY, &enable, sizeof(enable));
 				if (0 != ::connect(upstream, reinterpret_cast<const sockaddr*>(&this->target), sizeof(this->target)))
 				{
 					::close(upstream);
@@ -139,11 +139,11 @@
 					this->sockets.push_back(_client);
 					this->sockets.push_back(upstream);
 				}
-				std::thread back([this, upstream, _client, held] {
+				std::thread toClient([this, upstream, _client, held] {
 					this->pump(upstream, _client, &LinkFaults::cutToClient, *held);
 				});
 				this->pump(_client, upstream, &LinkFaults::cutToTarget, *held);
-				back.join();
+				toClient.join();
 				absl::MutexLock lock(&this->mutex);
 				this->holds.remove(held);
 				this->sockets.remove(_client);
@@ -152,7 +152,7 @@
 				::close(_client);
 			}
 
-			void holdBack(bool LinkFaults::*_cut, const bool& _held)
+			void awaitDelivery(bool LinkFaults::*_cut, const bool& _held)
 			{
 				absl::MutexLock lock(&this->mutex);
 				if (0 < this->faults.delayMs)
@@ -160,10 +160,10 @@
 					const bool never = false;
 					this->mutex.AwaitWithTimeout(absl::Condition(&never), absl::Milliseconds(this->faults.delayMs));
 				}
-				const auto open = [this, _cut, &_held]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
+				const auto isOpen = [this, _cut, &_held]() ABSL_SHARED_LOCKS_REQUIRED(this->mutex) {
 					return !(this->faults.*_cut) && !_held;
 				};
-				this->mutex.Await(absl::Condition(&open));
+				this->mutex.Await(absl::Condition(&isOpen));
 			}
 
 			void pump(int _from, int _to, bool LinkFaults::*_cut, const bool& _held)
@@ -172,8 +172,8 @@
 				while (true)
 				{
 					const ssize_t size = ::recv(_from, buffer, sizeof(buffer), 0);
-					this->holdBack(_cut, _held);
-					this->handedOn += std::uint64_t(std::max<ssize_t>(0, size));
+					this->awaitDelivery(_cut, _held);
+					this->forwardedBytes += std::uint64_t(std::max<ssize_t>(0, size));
 					if (size <= 0)
 					{
 						::shutdown(_to, SHUT_WR);
@@ -181,13 +181,13 @@
 					}
 					for (ssize_t sent = 0; sent < size;)
 					{
-						const ssize_t step = ::send(_to, buffer + sent, std::size_t(size - sent), MSG_NOSIGNAL);
-						if (step <= 0)
+						const ssize_t count = ::send(_to, buffer + sent, std::size_t(size - sent), MSG_NOSIGNAL);
+						if (count <= 0)
 						{
 							::shutdown(_from, SHUT_RDWR);
 							return;
 						}
-						sent += step;
+						sent += count;
 					}
 				}
 			}
@@ -195,11 +195,11 @@
 			const sockaddr_in target;
 			const int listener;
 			int port = 0;
-			std::atomic<std::uint64_t> handedOn{0};
+			std::atomic<std::uint64_t> forwardedBytes{0};
 			absl::Mutex mutex;
 			LinkFaults faults ABSL_GUARDED_BY(mutex);
 			std::list<int> sockets ABSL_GUARDED_BY(mutex);
-			std::list<std::shared_ptr<bool>> holds ABSL_GUARDED_BY(mutex); ///< One a connection.
+			std::list<std::shared_ptr<bool>> holds ABSL_GUARDED_BY(mutex); ///< One per connection.
 		};
 	} // namespace
 
@@ -207,7 +207,7 @@
 	{
 		absl::Mutex mutex;
 		std::map<std::string, std::unique_ptr<Link>> links;
-		std::vector<std::unique_ptr<Link>> retired; // their threads still use them
+		std::vector<std::unique_ptr<Link>> retired; // replaced links; their threads still use them
 		HttpServer server;
 		server.routes().Post("/links", [&](const httplib::Request& _request, httplib::Response& _response) {
 			const Json body = Json::parse(_request.body);
@@ -237,6 +237,6 @@
 		const Address address = server.start({"127.0.0.1", 0});
 		logInfo("listening", {{"http", toString(address)}});
 		waitForStopSignal();
-		std::_Exit(0); // Its detached threads hold nothing that must be kept.
+		std::_Exit(0); // skips destructors: detached threads still use the links, and no state needs saving
 	}
 } // namespace archdyke::stub
--- a/tools/stub_ranks.cpp
+++ b/tools/stub_ranks.cpp
@@ -1,14 +1,15 @@
-/// Stand-in for a group of the platform's engine ranks that advance in lock-step on expert maps,
-/// check no fence and compare no maps. It carries orders out late when told to, and judges at each
-/// pass whether all ranks are on the same map.
+/// Stub of a group of the platform's engine ranks. The ranks run passes in lock-step on expert maps;
+/// they neither check fences nor compare maps. On demand it executes orders late. At each pass it
+/// checks that all ranks use the same map.
 ///
 /// Options: {"addresses": [IP:port, ...], "sets", "experts", "group"?: its name, "passMs"?,
-/// "reportDelayMs"?: time that each rank takes to answer a question, by rank}. POST /control at any
-/// rank {"lateShare": share of the orders that get no answer and are carried out 0.2 to 1.5 s later,
-/// "formAnew": true, "broken": whether the group stands still and runs no request, "active": what
-/// each rank tells of its load, "hot": [expert of each set]}. GET /record at any rank tells the
-/// passes begun, the requests run, the switches, the splits seen, the longest time that a pass was
-/// held, ms. Any other GET is a caller's request, answered whole and at once.
+/// "reportDelayMs"?: response delay of each rank}.
+/// POST /control at any rank {"lateShare": share of the orders that get no response and are executed
+/// 0.2 to 1.5 s later, "formAnew": true, "broken": whether the group stalls and runs no request,
+/// "active": load that each rank reports, "hot": [expert of each set]}.
+/// GET /record at any rank returns the number of passes, requests, switches and splits (passes in which
+/// ranks used different maps), and the longest time that a pass was held, ms.
+/// Any other GET is a caller's request and gets a complete response at once.
 #include <fmt/format.h>
 #include <map>
 #include <random>
@@ -27,14 +28,14 @@
 		using http::Part;
 		using http::PartKind;
 
-		/// Choices that all requests of a rank make in one pass, of each set.
+		/// Expert choices of all requests of a rank in one pass, per set.
 		constexpr std::uint32_t kChoicesPerPass = 200;
 
 		struct Rank
 		{
 			std::uint64_t map = 0;
-			Json content; ///< Of the map in use; null for the one a group forms with.
-			std::uint64_t highest = 0;
+			Json content; ///< Of the map in use; null for the initial map.
+			std::uint64_t highestPrepared = 0;
 			std::optional<std::uint64_t> prepared;
 			Json preparedContent;
 			std::optional<std::uint64_t> armed;
@@ -53,11 +54,11 @@
 			    , experts(_options.at("experts").get<std::uint32_t>())
 			    , name(_options.value("group", "g"))
 			    , passMs(_options.value("passMs", Millis(20)))
-			    , hot(this->sets, 0)
-			    , delays(_options.value("reportDelayMs", std::vector<Millis>(this->ranks.size(), 0)))
+			    , hotExperts(this->sets, 0)
+			    , responseDelaysMs(_options.value("reportDelayMs", std::vector<Millis>(this->ranks.size(), 0)))
 			{
 				this->form();
-				this->passing = this->pass().take().eagerlyEvaluate(nullptr);
+				this->passing = this->runPasses().take().eagerlyEvaluate(nullptr);
 			}
 
 			aio::Task<void> serve(std::size_t _rank, std::unique_ptr<http::HttpConnection> _connection)
@@ -78,17 +79,17 @@
 					}
 					else if (PartKind::End == part.kind)
 					{
-						if (0 < this->delays[_rank])
+						if (0 < this->responseDelaysMs[_rank])
 						{
-							co_await this->loop.timer.afterDelay(this->delays[_rank] * kj::MILLISECONDS);
+							co_await this->loop.timer.afterDelay(this->responseDelaysMs[_rank] * kj::MILLISECONDS);
 						}
-						std::optional<std::string> answer = this->answer(_rank, head, body);
-						if (!answer)
+						std::optional<std::string> response = this->respond(_rank, head, body);
+						if (!response)
 						{
-							co_await _connection->whenDisconnected(); // no answer, ever
+							co_await _connection->whenDisconnected(); // the order gets no response
 							co_return;
 						}
-						co_await _connection->write(std::move(*answer));
+						co_await _connection->write(std::move(*response));
 					}
 					else
 					{
@@ -111,7 +112,7 @@
 				this->epoch += 1;
 			}
 
-			void count()
+			void countChoices()
 			{
 				for (Rank& rank : this->ranks)
 				{
@@ -120,7 +121,7 @@
 						const std::uint32_t each = kChoicesPerPass / this->experts;
 						for (std::uint32_t expert = 0; expert < this->experts; ++expert)
 						{
-							rank.counts[std::size_t(set) * this->experts + expert] += each + (expert == this->hot[set] ? kChoicesPerPass : 0);
+							rank.counts[std::size_t(set) * this->experts + expert] += each + (expert == this->hotExperts[set] ? kChoicesPerPass : 0);
 						}
 					}
 				}
@@ -133,7 +134,7 @@
 				});
 			}
 
-			void begin(std::uint64_t _step)
+			void startPass(std::uint64_t _step)
 			{
 				this->step = _step;
 				for (Rank& rank : this->ranks)
@@ -146,28 +147,28 @@
 					}
 				}
 				const Rank& first = this->ranks.front();
-				const bool same = std::all_of(this->ranks.begin(), this->ranks.end(), [&](const Rank& _rank) {
+				const bool sameMap = std::all_of(this->ranks.begin(), this->ranks.end(), [&](const Rank& _rank) {
 					return _rank.map == first.map && _rank.content == first.content;
 				});
-				this->splits += same ? 0 : 1;
-				this->switches += same && first.map != this->lastMap ? 1 : 0;
+				this->splits += sameMap ? 0 : 1;
+				this->switches += sameMap && first.map != this->lastMap ? 1 : 0;
 				this->lastMap = first.map;
-				this->count();
+				this->countChoices();
 			}
 
-			aio::Task<void> pass()
+			aio::Task<void> runPasses()
 			{
-				constexpr Millis kHeldLookMs = 2;
+				constexpr Millis kHoldPollMs = 2;
 				while (true)
 				{
 					co_await this->loop.timer.afterDelay(this->passMs * kj::MILLISECONDS);
 					const Millis since = nowMs();
 					while (this->broken || this->isHeld(this->step + 1))
 					{
-						co_await this->loop.timer.afterDelay(kHeldLookMs * kj::MILLISECONDS);
+						co_await this->loop.timer.afterDelay(kHoldPollMs * kj::MILLISECONDS);
 					}
 					this->longestHoldMs = std::max(this->longestHoldMs, nowMs() - since);
-					this->begin(this->step + 1);
+					this->startPass(this->step + 1);
 				}
 			}
 
@@ -182,7 +183,7 @@
 				return {{"group", {{"name", this->name}, {"epoch", this->epoch}, {"rank", _rank}, {"state", this->broken ? "broken" : "open"}}}, {"size", this->ranks.size()}, {"queued", 0}, {"active", this->active}, {"step", this->step}, {"map", rank.map}, {"prepared", orNull(rank.prepared)}, {"armed", orNull(rank.armed)}, {"held", orNull(rank.held)}};
 			}
 
-			int carryOut(std::size_t _rank, const Json& _order)
+			int execute(std::size_t _rank, const Json& _order)
 			{
 				Rank& rank = this->ranks[_rank];
 				const std::string op = _order.value("op", "");
@@ -194,11 +195,11 @@
 				}
 				if ("prepare" == op)
 				{
-					if (version <= rank.highest || rank.armed)
+					if (version <= rank.highestPrepared || rank.armed)
 					{
 						return 409;
 					}
-					rank.highest = version;
+					rank.highestPrepared = version;
 					rank.prepared = version;
 					rank.preparedContent = _order.at("map");
 					return 202;
@@ -235,14 +236,14 @@
 				return "go" == op ? 200 : 400;
 			}
 
-			aio::Task<void> carryOutLate(std::size_t _rank, Json _order, Millis _afterMs)
+			aio::Task<void> executeLate(std::size_t _rank, Json _order, Millis _afterMs)
 			{
 				co_await this->loop.timer.afterDelay(_afterMs * kj::MILLISECONDS);
-				this->carryOut(_rank, _order);
+				this->execute(_rank, _order);
 			}
 
-			/// Answers a caller's request, or says that the group can't run it.
-			std::string serveRequest(std::size_t _rank, const http::RequestHead& _head)
+			/// Runs a caller's request, or rejects it when the group is broken.
+			std::string runRequest(std::size_t _rank, const http::RequestHead& _head)
 			{
 				http::ResponseHead head{this->broken ? 503 : 200, {}, true};
 				head.headers.add("X-Archdyke-Request-Id", std::string(_head.headers.find("X-Archdyke-Request-Id").value_or("")));
@@ -257,8 +258,8 @@
 				return http::serialize(head, this->name);
 			}
 
-			/// @returns Bytes of the answer; none when there is none.
-			std::optional<std::string> answer(std::size_t _rank, const http::RequestHead& _head, const std::string& _body)
+			/// @returns The serialized response; nullopt for an order that gets none.
+			std::optional<std::string> respond(std::size_t _rank, const http::RequestHead& _head, const std::string& _body)
 			{
 				const auto json = [](int _status, const Json& _json) {
 					return http::serialize(http::ResponseHead{_status, {}, true}, _json.dump());
@@ -277,13 +278,13 @@
 				}
 				if ("GET" == _head.method)
 				{
-					return this->serveRequest(_rank, _head);
+					return this->runRequest(_rank, _head);
 				}
 				const Json order = Json::parse(_body);
 				if ("/control" == _head.target)
 				{
 					this->lateShare = order.value("lateShare", this->lateShare);
-					this->hot = order.value("hot", this->hot);
+					this->hotExperts = order.value("hot", this->hotExperts);
 					this->broken = order.value("broken", this->broken);
 					this->active = order.value("active", this->active);
 					if (order.value("formAnew", false))
@@ -296,10 +297,10 @@
 				if (share(this->random) < this->lateShare)
 				{
 					std::uniform_int_distribution<Millis> late(200, 1'500);
-					this->tasks.add(this->carryOutLate(_rank, order, late(this->random)).take());
+					this->tasks.add(this->executeLate(_rank, order, late(this->random)).take());
 					return std::nullopt;
 				}
-				return json(this->carryOut(_rank, order), Json::object());
+				return json(this->execute(_rank, order), Json::object());
 			}
 
 			class Errors final : public kj::TaskSet::ErrorHandler
@@ -316,11 +317,11 @@
 			std::uint32_t experts;
 			std::string name;
 			Millis passMs;
-			bool broken = false; ///< Runs no request and begins no pass.
+			bool broken = false; ///< Runs no requests and starts no passes.
 			std::uint32_t active = 2;
-			std::uint64_t requests = 0; ///< Run by all ranks.
-			std::vector<std::uint32_t> hot;
-			std::vector<Millis> delays; ///< Of each answer, by rank.
+			std::uint64_t requests = 0; ///< Run by all ranks together.
+			std::vector<std::uint32_t> hotExperts;
+			std::vector<Millis> responseDelaysMs; ///< Response delay by rank, ms.
 			std::uint64_t epoch = 0;
 			std::uint64_t step = 0;
 			std::uint64_t lastMap = 0;
--- a/tools/stub_service.cpp
+++ b/tools/stub_service.cpp
@@ -1,9 +1,9 @@
-/// Stand-in for a plain service: echoes its call and counts how often each request ran,
-/// by the field "token" of its body or else by its request id.
+/// Stub of a plain service: echoes each call and counts how often each request ran, by the field
+/// "token" of its body or else by its request id.
 ///
-/// Options: {"address"?, "delayMs"?}. Routes: any call; GET /record; POST /control {"delayMs", "restS"}: for restS
-/// seconds calls get 503 and the time that is left in Retry-After, and count as turned away, not as runs. A call whose token
-/// begins with "crash" ends the process as it begins to run.
+/// Options: {"address"?, "delayMs"?}. Routes: any call; GET /record; POST /control {"delayMs", "restS"}:
+/// for restS seconds calls get 503 with the remaining time in Retry-After, and count as rejected, not as
+/// runs. A call whose token begins with "crash" ends the process when it starts to run.
 #include <absl/synchronization/notification.h>
 #include <absl/time/time.h>
 #include <atomic>
@@ -20,10 +20,10 @@
 {
 	namespace
 	{
-		constexpr int kCrashed = 70; ///< Exit code of a process that a call has ended.
+		constexpr int kCrashExitCode = 70; ///< Exit code after a call that crashes the process.
 
-		/// What names a call: its body's token, or the request id.
-		std::string tokenOf(const httplib::Request& _request)
+		/// @returns Key that a call is counted by: the token of its body, else the request id.
+		std::string callKey(const httplib::Request& _request)
 		{
 			const nlohmann::json body = nlohmann::json::parse(_request.body, nullptr, false);
 			const bool hasToken = body.is_object() && body.contains("token") && body["token"].is_string();
@@ -36,8 +36,8 @@
 		using Json = nlohmann::json;
 		std::mutex mutex;
 		std::map<std::string, int> runs;
-		int turnedAway = 0;
-		std::atomic<Millis> restUntil{0};
+		int rejected = 0;
+		std::atomic<Millis> backOffUntil{0};
 		std::atomic<Millis> delayMs{_options.value("delayMs", Millis(0))};
 		HttpServer server;
 		server.routes().Get("/health", [](const httplib::Request&, httplib::Response& _response) {
@@ -45,28 +45,28 @@
 		});
 		server.routes().Get("/record", [&](const httplib::Request&, httplib::Response& _response) {
 			const std::lock_guard lock(mutex);
-			_response.set_content(Json{{"runs", runs}, {"turnedAway", turnedAway}}.dump(), "application/json");
+			_response.set_content(Json{{"runs", runs}, {"turnedAway", rejected}}.dump(), "application/json");
 		});
 		server.routes().Post("/control", [&](const httplib::Request& _request, httplib::Response&) {
-			const Json order = Json::parse(_request.body);
-			delayMs = order.value("delayMs", Millis(0));
-			restUntil = nowMs() + Millis(1'000.0 * order.value("restS", 0.0));
+			const Json control = Json::parse(_request.body);
+			delayMs = control.value("delayMs", Millis(0));
+			backOffUntil = nowMs() + Millis(1'000.0 * control.value("restS", 0.0));
 		});
 		const auto echo = [&](const httplib::Request& _request, httplib::Response& _response) {
 			{
 				const std::lock_guard lock(mutex);
-				const Millis left = restUntil - nowMs();
-				if (0 < left)
+				const Millis remainingMs = backOffUntil - nowMs();
+				if (0 < remainingMs)
 				{
-					turnedAway += 1;
+					rejected += 1;
 					_response.status = 503;
-					_response.set_header("Retry-After", std::to_string(double(left) / 1'000.0));
+					_response.set_header("Retry-After", std::to_string(double(remainingMs) / 1'000.0));
 					return;
 				}
-				runs[tokenOf(_request)] += 1;
-				if (tokenOf(_request).starts_with("crash"))
+				runs[callKey(_request)] += 1;
+				if (callKey(_request).starts_with("crash"))
 				{
-					std::_Exit(kCrashed);
+					std::_Exit(kCrashExitCode);
 				}
 			}
 			if (0 < delayMs)
--- a/tools/stub_store.cpp
+++ b/tools/stub_store.cpp
@@ -1,9 +1,10 @@
-/// Stand-in for the platform's metadata store: rows with versions, conditional transactions, a
-/// feed of changes; and its troubles.
+/// Stub of the platform's metadata store: versioned rows, conditional transactions and a change feed,
+/// with injected faults.
 ///
 /// Options: {"address"?}. POST /control {"mode": "up" | "busy" | "silent" | "lose", "delayMs"?,
-/// "forget"?}: busy answers 503, silent doesn't answer, lose does writes without an answer, forget
-/// drops the history once. Writes with the header X-Stub-Operator are served at once in all modes.
+/// "forget"?}: "busy" returns 503, "silent" sends no response, "lose" applies writes without sending a
+/// response, "forget" drops the change history once. Writes with the header X-Stub-Operator are served
+/// at once in all modes.
 #include <absl/strings/escaping.h>
 #include <absl/synchronization/mutex.h>
 #include <map>
@@ -19,8 +20,8 @@
 	{
 		using Json = nlohmann::json;
 
-		/// How long a silent store keeps a caller, ms; longer than any caller waits.
-		constexpr Millis kSilentMs = 20'000;
+		/// How long a silent store keeps a connection open, ms; longer than any client timeout.
+		constexpr Millis kSilentHoldMs = 20'000;
 
 		struct RowName
 		{
@@ -35,10 +36,10 @@
 		{
 			std::string value; ///< Base64, as sent.
 			std::uint64_t version = 0;
-			bool gone = false;
+			bool deleted = false;
 		};
 
-		struct Trouble
+		struct Faults
 		{
 			std::string mode = "up";
 			Millis delayMs = 0;
@@ -55,18 +56,18 @@
 						this->transact(Json::parse(_request.body), _response);
 						return;
 					}
-					this->guarded(_response, true, [&] {
+					this->serveWithFaults(_response, true, [&] {
 						this->transact(Json::parse(_request.body), _response);
 					});
 				});
 				_routes.Get("/rows-get", [this](const httplib::Request& _request, httplib::Response& _response) {
-					this->guarded(_response, false, [&] {
-						this->read(_request, _response);
+					this->serveWithFaults(_response, false, [&] {
+						this->serveRead(_request, _response);
 					});
 				});
 				_routes.Get("/rows-feed", [this](const httplib::Request& _request, httplib::Response& _response) {
-					this->guarded(_response, false, [&] {
-						this->follow(_request, _response);
+					this->serveWithFaults(_response, false, [&] {
+						this->serveFeed(_request, _response);
 					});
 				});
 				_routes.Post("/control", [this](const httplib::Request& _request, httplib::Response&) {
@@ -83,52 +84,52 @@
 				never.AwaitWithTimeout(absl::Condition(&done), absl::Milliseconds(_ms));
 			}
 
-			Trouble currentTrouble()
+			Faults currentFaults()
 			{
 				absl::MutexLock lock(&this->mutex);
-				return this->trouble;
+				return this->faults;
 			}
 
 			template <typename Work>
-			void guarded(httplib::Response& _response, bool _writes, Work _work)
+			void serveWithFaults(httplib::Response& _response, bool _writes, Work _work)
 			{
-				Trouble trouble = this->currentTrouble();
-				pause(trouble.delayMs);
-				trouble = this->currentTrouble(); // what comes up meanwhile meets the calls that are under way
-				if ("busy" == trouble.mode)
+				Faults faults = this->currentFaults();
+				pause(faults.delayMs);
+				faults = this->currentFaults(); // a fault set during the delay applies to calls in progress
+				if ("busy" == faults.mode)
 				{
 					_response.status = 503;
 					return;
 				}
-				if ("silent" == trouble.mode)
+				if ("silent" == faults.mode)
 				{
-					pause(kSilentMs);
+					pause(kSilentHoldMs);
 					_response.status = 503;
 					return;
 				}
 				_work();
-				if ("lose" == trouble.mode && _writes)
+				if ("lose" == faults.mode && _writes)
 				{
-					pause(kSilentMs);
+					pause(kSilentHoldMs);
 				}
 			}
 
 			void control(const Json& _json)
 			{
 				absl::MutexLock lock(&this->mutex);
-				this->trouble = {_json.value("mode", this->trouble.mode), _json.value("delayMs", Millis(0))};
-				this->forgottenUpTo = _json.value("forget", false) ? this->newest : this->forgottenUpTo;
+				this->faults = {_json.value("mode", this->faults.mode), _json.value("delayMs", Millis(0))};
+				this->historyStart = _json.value("forget", false) ? this->newestVersion : this->historyStart;
 			}
 
-			Json answer() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
+			Json emptyResponse() const ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex)
 			{
-				return Json{{"rows", Json::array()}, {"more", false}, {"ver", this->newest}, {"now_ms", nowMs()}};
+				return Json{{"rows", Json::array()}, {"more", false}, {"ver", this->newestVersion}, {"now_ms", nowMs()}};
 			}
 
 			static Json rowJson(const RowName& _name, const StoredRow& _row)
 			{
 				Json json{{"table", _name.table}, {"part", _name.part}, {"key", _name.key}, {"ver", _row.version}};
-				if (_row.gone)
+				if (_row.deleted)
 				{
 					json["gone"] = true;
 				}
@@ -147,44 +148,44 @@
 			void transact(const Json& _body, httplib::Response& _response)
 			{
 				absl::MutexLock lock(&this->mutex);
-				Json result = this->answer();
-				bool holds = true;
+				Json result = this->emptyResponse();
+				bool conditionsMet = true;
 				for (const Json& expected : _body.value("expectedRev", Json::array()))
 				{
 					const auto it = this->rows.find(nameOf(expected));
-					const bool there = this->rows.end() != it && !it->second.gone;
-					holds = holds && expected.value("ver", std::uint64_t(0)) == (there ? it->second.version : 0);
-					if (there)
+					const bool exists = this->rows.end() != it && !it->second.deleted;
+					conditionsMet = conditionsMet && expected.value("ver", std::uint64_t(0)) == (exists ? it->second.version : 0);
+					if (exists)
 					{
 						result["rows"].push_back(rowJson(it->first, it->second));
 					}
 				}
-				if (!holds)
+				if (!conditionsMet)
 				{
 					_response.status = 412;
 					_response.set_content(result.dump(), "application/json");
 					return;
 				}
-				this->newest += 1;
+				this->newestVersion += 1;
 				for (const Json& put : _body.value("put", Json::array()))
 				{
-					this->rows[nameOf(put)] = {put.value("value", ""), this->newest, false};
+					this->rows[nameOf(put)] = {put.value("value", ""), this->newestVersion, false};
 				}
 				for (const Json& removed : _body.value("remove", Json::array()))
 				{
-					this->rows[nameOf(removed)] = {"", this->newest, true};
+					this->rows[nameOf(removed)] = {"", this->newestVersion, true};
 				}
-				_response.set_content(Json{{"ver", this->newest}, {"now_ms", nowMs()}}.dump(), "application/json");
+				_response.set_content(Json{{"ver", this->newestVersion}, {"now_ms", nowMs()}}.dump(), "application/json");
 			}
 
-			void read(const httplib::Request& _request, httplib::Response& _response)
+			void serveRead(const httplib::Request& _request, httplib::Response& _response)
 			{
 				absl::MutexLock lock(&this->mutex);
-				Json result = this->answer();
+				Json result = this->emptyResponse();
 				for (const auto& [name, row] : this->rows)
 				{
 					const bool wanted = name.table == _request.get_param_value("table") && name.part == _request.get_param_value("part") && name.key >= _request.get_param_value("from");
-					if (wanted && !row.gone)
+					if (wanted && !row.deleted)
 					{
 						result["rows"].push_back(rowJson(name, row));
 					}
@@ -199,28 +200,28 @@
 				});
 			}
 
-			void follow(const httplib::Request& _request, httplib::Response& _response)
+			void serveFeed(const httplib::Request& _request, httplib::Response& _response)
 			{
 				const std::string table = _request.get_param_value("table");
 				const std::uint64_t since = std::stoull(_request.get_param_value("sinceRev"));
 				const Millis waitMs = std::stoll(_request.get_param_value("waitMs"));
 				absl::MutexLock lock(&this->mutex);
-				if (since < this->forgottenUpTo)
+				if (since < this->historyStart)
 				{
 					_response.status = 410;
 					return;
 				}
 				const auto ready = [&] {
 					this->mutex.AssertHeld();
-					return this->hasChanges(table, since) || "up" != this->trouble.mode;
+					return this->hasChanges(table, since) || "up" != this->faults.mode;
 				};
 				this->mutex.AwaitWithTimeout(absl::Condition(&ready), absl::Milliseconds(waitMs));
-				if ("busy" == this->trouble.mode)
+				if ("busy" == this->faults.mode)
 				{
 					_response.status = 503;
 					return;
 				}
-				Json result = this->answer();
+				Json result = this->emptyResponse();
 				for (const auto& [name, row] : this->rows)
 				{
 					if (name.table == table && row.version > since)
@@ -233,9 +234,9 @@
 
 			absl::Mutex mutex;
 			std::map<RowName, StoredRow> rows ABSL_GUARDED_BY(mutex);
-			std::uint64_t newest ABSL_GUARDED_BY(mutex) = 1;
-			std::uint64_t forgottenUpTo ABSL_GUARDED_BY(mutex) = 0;
-			Trouble trouble ABSL_GUARDED_BY(mutex);
+			std::uint64_t newestVersion ABSL_GUARDED_BY(mutex) = 1;
+			std::uint64_t historyStart ABSL_GUARDED_BY(mutex) = 0;
+			Faults faults ABSL_GUARDED_BY(mutex);
 		};
 	} // namespace
 
--- a/tools/stub_worker.cpp
+++ b/tools/stub_worker.cpp
@@ -1,16 +1,18 @@
-/// Stand-in for one upstream of the platform: a plain service and a streaming engine, and their
-/// troubles.
+/// Stub of one upstream of the platform: a plain service and a streaming engine, with injected faults.
 ///
-/// Options: {"address"?, "id"}. A request's query says what to do, "do=...": ok, shed, fail, hang,
-/// cut, garbage, foreign, unsigned, encoded, unframed, stream, break (a stream that stops within
-/// its 4th event unless it is resumed), crash (the process ends as it begins to run it, a stream after
-/// two events), skip (a stream that leaves out its 3rd event), jump (the
-/// same, all events in one piece). "restS=N": what is shed is told to send nothing for N s.
-/// "leaving=1": the answer says that the upstream is about to end. "only=ID":
-/// just the upstream of that id does so, the others answer as usual. GET /record tells, by request
-/// id, how often each ran, how often its caller left, how often it was turned away and when it last came. POST /control {"mode": "up" | "refuse"},
-/// {"restS": N}: for N s all are turned away and told to send nothing for what is left; {"leaving": true}: each
-/// answer says from now on that the upstream is about to end.
+/// Options: {"address"?, "id"}. The query of a request selects its behaviour:
+///   do=...     ok, shed, fail, hang, cut, garbage, foreign, unsigned, encoded, unframed, stream,
+///              break (a stream that stops within its 4th event unless it is resumed), crash (the
+///              process ends when the request starts to run, a stream after two events), skip (a
+///              stream without its 3rd event), jump (likewise, all events in one chunk)
+///   restS=N    the response to a shed request asks for a back-off of N s
+///   leaving=1  the response says that the upstream is about to stop
+///   only=ID    only the upstream with this id does the above, the others respond normally
+/// GET /record returns, by request id, the number of runs, of caller disconnects and of rejections,
+/// and the time of the last arrival.
+/// POST /control {"mode": "up" | "refuse"}; {"restS": N}: rejects all requests for N s and asks for a
+/// back-off of the remaining time; {"leaving": true}: all further responses say that the upstream is
+/// about to stop.
 #include <cstdlib>
 #include <fmt/format.h>
 #include <map>
@@ -28,11 +30,11 @@
 		using http::Part;
 		using http::PartKind;
 
-		constexpr std::uint64_t kEvents = 12;
-		constexpr Millis kEventMs = 15;
-		constexpr Millis kHangMs = 30'000;
-		constexpr Millis kCrashMs = 20; ///< From the begin of a run that ends the process.
-		constexpr int kCrashed = 70;    ///< Exit code then.
+		constexpr std::uint64_t kStreamEvents = 12;
+		constexpr Millis kEventIntervalMs = 15;
+		constexpr Millis kMaxHangMs = 30'000;
+		constexpr Millis kCrashDelayMs = 20; ///< From the start of a run that crashes the process.
+		constexpr int kCrashExitCode = 70;   ///< Exit code after such a run.
 		constexpr std::uint64_t kEventsBeforeCrash = 2;
 
 		struct Call
@@ -44,22 +46,22 @@
 		struct Record
 		{
 			int runs = 0;
-			int left = 0;
-			int turnedAway = 0;
-			Millis cameAt = 0;
+			int disconnects = 0;
+			int rejections = 0;
+			Millis lastArrivalAt = 0;
 			std::string organisation;
 			std::string resumedAfter;
 		};
 
 		std::string queryField(const std::string& _target, const std::string& _name)
 		{
-			const std::string mark = _name + "=";
-			const std::size_t at = _target.find(mark, _target.find('?') + 1);
-			if (std::string::npos == _target.find('?') || std::string::npos == at)
+			const std::string prefix = _name + "=";
+			const std::size_t position = _target.find(prefix, _target.find('?') + 1);
+			if (std::string::npos == _target.find('?') || std::string::npos == position)
 			{
 				return "";
 			}
-			const std::size_t begin = at + mark.size();
+			const std::size_t begin = position + prefix.size();
 			return _target.substr(begin, _target.find('&', begin) - begin);
 		}
 
@@ -77,8 +79,8 @@
 				while (true)
 				{
 					Call call;
-					bool whole = false;
-					while (!whole)
+					bool complete = false;
+					while (!complete)
 					{
 						Part part = co_await _connection->next();
 						if (PartKind::Head == part.kind)
@@ -91,15 +93,15 @@
 						}
 						else if (PartKind::End == part.kind)
 						{
-							whole = true;
+							complete = true;
 						}
 						else
 						{
 							co_return;
 						}
 					}
-					const bool keep = co_await this->answer(*_connection, call);
-					if (!keep)
+					const bool keepOpen = co_await this->respond(*_connection, call);
+					if (!keepOpen)
 					{
 						co_return;
 					}
@@ -119,52 +121,52 @@
 				http::ResponseHead head{_status, {}, true};
 				head.headers.add("X-Archdyke-Request-Id", this->headerOf(_call, "X-Archdyke-Request-Id"));
 				head.headers.add("X-Archdyke-Server-Stamp", "stamp-" + this->id);
-				if (this->leaving || ("1" == queryField(_call.head.target, "leaving") && this->isMeant(_call)))
+				if (this->leaving || ("1" == queryField(_call.head.target, "leaving") && this->isAddressee(_call)))
 				{
 					head.headers.add("Server-Leaving", "1");
 				}
 				return head;
 			}
 
-			bool isMeant(const Call& _call) const
+			bool isAddressee(const Call& _call) const
 			{
 				const std::string only = queryField(_call.head.target, "only");
 				return only.empty() || only == this->id;
 			}
 
-			/// A line a run, so that runs are known also when this process is killed.
+			/// Prints one line per run, so that runs are known even when this process is killed.
 			void printRun(const Call& _call) const
 			{
 				fmt::print("run request={} at={} leaving={} organisation={}\n", this->headerOf(_call, "X-Archdyke-Request-Id"), nowMs(), this->leaving ? 1 : 0, this->headerOf(_call, "X-Archdyke-Tenant"));
 				std::fflush(stdout);
 			}
 
-			/// Turns a request away, with the time in seconds for which nothing is wanted, if any.
-			http::ResponseHead turnAway(const Call& _call, const std::string& _restS) const
+			/// Returns the response head of a rejected request, with the back-off to ask for in seconds, if any.
+			http::ResponseHead rejectedHead(const Call& _call, const std::string& _backOffS) const
 			{
 				http::ResponseHead head = this->headFor(_call, 503);
 				head.headers.add("X-Archdyke-Not-Executed", "1");
-				if (!_restS.empty())
+				if (!_backOffS.empty())
 				{
-					head.headers.add("Retry-After", _restS);
+					head.headers.add("Retry-After", _backOffS);
 				}
-				fmt::print("turned_away request={} at={} rest={}\n", this->headerOf(_call, "X-Archdyke-Request-Id"), nowMs(), _restS);
+				fmt::print("turned_away request={} at={} rest={}\n", this->headerOf(_call, "X-Archdyke-Request-Id"), nowMs(), _backOffS);
 				std::fflush(stdout);
 				return head;
 			}
 
-			/// @returns What a call that is turned away is told of the time for which nothing is wanted.
-			std::string restTold(const Call& _call) const
+			/// @returns The back-off that the response to a rejected call asks for, s; empty for none.
+			std::string backOffText(const Call& _call) const
 			{
-				const Millis left = this->restUntil - nowMs();
-				return 0 < left ? fmt::format("{:.3f}", double(left) / 1'000.0) : queryField(_call.head.target, "restS");
+				const Millis remainingMs = this->backOffUntil - nowMs();
+				return 0 < remainingMs ? fmt::format("{:.3f}", double(remainingMs) / 1'000.0) : queryField(_call.head.target, "restS");
 			}
 
-			void control(const nlohmann::json& _order)
+			void control(const nlohmann::json& _settings)
 			{
-				this->refuses = "refuse" == _order.value("mode", this->refuses ? "refuse" : "up");
-				this->restUntil = _order.contains("restS") ? nowMs() + Millis(1'000.0 * _order["restS"].get<double>()) : this->restUntil;
-				this->leaving = _order.value("leaving", this->leaving);
+				this->rejectsAll = "refuse" == _settings.value("mode", this->rejectsAll ? "refuse" : "up");
+				this->backOffUntil = _settings.contains("restS") ? nowMs() + Millis(1'000.0 * _settings["restS"].get<double>()) : this->backOffUntil;
+				this->leaving = _settings.value("leaving", this->leaving);
 			}
 
 			std::string recordText() const
@@ -172,13 +174,13 @@
 				nlohmann::json records = nlohmann::json::object();
 				for (const auto& [request, record] : this->records)
 				{
-					records[request] = {{"runs", record.runs}, {"left", record.left}, {"turnedAway", record.turnedAway}, {"cameAt", record.cameAt}, {"organisation", record.organisation}, {"resumedAfter", record.resumedAfter}};
+					records[request] = {{"runs", record.runs}, {"left", record.disconnects}, {"turnedAway", record.rejections}, {"cameAt", record.lastArrivalAt}, {"organisation", record.organisation}, {"resumedAfter", record.resumedAfter}};
 				}
 				return records.dump();
 			}
 
-			/// @returns Whether the connection goes on.
-			aio::Task<bool> answer(http::HttpConnection& _connection, const Call& _call)
+			/// @returns Whether the connection is kept open.
+			aio::Task<bool> respond(http::HttpConnection& _connection, const Call& _call)
 			{
 				std::string bytes;
 				if ("/record" == _call.head.target)
@@ -195,8 +197,8 @@
 					co_return true;
 				}
 				const std::string expected = this->headerOf(_call, "X-Archdyke-Expect-Instance");
-				const std::string wanted = queryField(_call.head.target, "do");
-				const std::string what = this->isMeant(_call) ? wanted : ("break" == wanted || "skip" == wanted || "jump" == wanted || "stream" == wanted ? "stream" : "ok");
+				const std::string requested = queryField(_call.head.target, "do");
+				const std::string behaviour = this->isAddressee(_call) ? requested : ("break" == requested || "skip" == requested || "jump" == requested || "stream" == requested ? "stream" : "ok");
 				if (!expected.empty() && expected != this->id)
 				{
 					bytes = http::serialize(this->headFor(_call, 421), "");
@@ -204,11 +206,11 @@
 					co_return true;
 				}
 				Record& record = this->records[this->headerOf(_call, "X-Archdyke-Request-Id")];
-				record.cameAt = nowMs();
-				if (this->refuses || "shed" == what || nowMs() < this->restUntil)
+				record.lastArrivalAt = nowMs();
+				if (this->rejectsAll || "shed" == behaviour || nowMs() < this->backOffUntil)
 				{
-					record.turnedAway += 1;
-					bytes = http::serialize(this->turnAway(_call, this->restTold(_call)), "");
+					record.rejections += 1;
+					bytes = http::serialize(this->rejectedHead(_call, this->backOffText(_call)), "");
 					co_await _connection.write(std::move(bytes));
 					co_return true;
 				}
@@ -216,103 +218,103 @@
 				this->printRun(_call);
 				record.organisation = this->headerOf(_call, "X-Archdyke-Tenant");
 				record.resumedAfter = this->headerOf(_call, "Last-Event-Id");
-				const bool crashes = "crash" == what;
-				if (crashes && !_call.head.target.starts_with("/stream/"))
+				const bool shouldCrash = "crash" == behaviour;
+				if (shouldCrash && !_call.head.target.starts_with("/stream/"))
 				{
-					co_await this->loop.timer.afterDelay(kCrashMs * kj::MILLISECONDS);
-					std::_Exit(kCrashed);
+					co_await this->loop.timer.afterDelay(kCrashDelayMs * kj::MILLISECONDS);
+					std::_Exit(kCrashExitCode);
 				}
-				if ("stream" == what || "break" == what || "skip" == what || "jump" == what || crashes)
+				if ("stream" == behaviour || "break" == behaviour || "skip" == behaviour || "jump" == behaviour || shouldCrash)
 				{
-					co_return co_await this->stream(_connection, _call, what, record);
+					co_return co_await this->respondStream(_connection, _call, behaviour, record);
 				}
-				co_return co_await this->plain(_connection, _call, what, record);
+				co_return co_await this->respondPlain(_connection, _call, behaviour, record);
 			}
 
-			aio::Task<bool> plain(http::HttpConnection& _connection, const Call& _call, std::string _what, Record& _record)
+			aio::Task<bool> respondPlain(http::HttpConnection& _connection, const Call& _call, std::string _behaviour, Record& _record)
 			{
 				const std::string body = _call.head.method + " " + _call.head.target + " " + _call.body;
 				std::string bytes = http::serialize(this->headFor(_call, 200), body);
-				bool keep = true;
-				if ("hang" == _what)
+				bool keepOpen = true;
+				if ("hang" == _behaviour)
 				{
-					co_await this->loop.timer.afterDelay(kHangMs * kj::MILLISECONDS).exclusiveJoin(_connection.whenDisconnected());
-					_record.left += _connection.isDisconnected() ? 1 : 0;
+					co_await this->loop.timer.afterDelay(kMaxHangMs * kj::MILLISECONDS).exclusiveJoin(_connection.whenDisconnected());
+					_record.disconnects += _connection.isDisconnected() ? 1 : 0;
 					co_return false;
 				}
-				if ("fail" == _what)
+				if ("fail" == _behaviour)
 				{
 					bytes = http::serialize(this->headFor(_call, 500), "failed");
 				}
-				else if ("cut" == _what)
+				else if ("cut" == _behaviour)
 				{
 					bytes.resize(bytes.size() - 3);
-					keep = false;
+					keepOpen = false;
 				}
-				else if ("garbage" == _what)
+				else if ("garbage" == _behaviour)
 				{
 					bytes = "\x01\x02 this is no answer\r\n\r\n";
-					keep = false;
+					keepOpen = false;
 				}
-				else if ("foreign" == _what)
+				else if ("foreign" == _behaviour)
 				{
 					http::ResponseHead foreign{200, {}, true};
 					foreign.headers.add("X-Archdyke-Request-Id", "another");
 					foreign.headers.add("X-Archdyke-Server-Stamp", "stamp-" + this->id);
 					bytes = http::serialize(foreign, "another's answer") + bytes;
 				}
-				else if ("unsigned" == _what)
+				else if ("unsigned" == _behaviour)
 				{
 					http::ResponseHead head{200, {}, true};
 					head.headers.add("X-Archdyke-Request-Id", this->headerOf(_call, "X-Archdyke-Request-Id"));
 					bytes = http::serialize(head, body);
 				}
-				else if ("encoded" == _what)
+				else if ("encoded" == _behaviour)
 				{
 					http::ResponseHead head = this->headFor(_call, 200);
 					head.headers.add("Content-Encoding", "br");
 					bytes = http::serialize(head, body);
 				}
-				else if ("unframed" == _what)
+				else if ("unframed" == _behaviour)
 				{
 					bytes = fmt::format("HTTP/1.1 200 OK\r\nX-Archdyke-Request-Id: {}\r\nX-Archdyke-Server-Stamp: stamp-{}\r\n\r\n{}", this->headerOf(_call, "X-Archdyke-Request-Id"), this->id, body);
-					keep = false;
+					keepOpen = false;
 				}
 				co_await _connection.write(std::move(bytes));
-				co_return keep;
+				co_return keepOpen;
 			}
 
-			aio::Task<bool> stream(http::HttpConnection& _connection, const Call& _call, std::string _what, Record& _record)
+			aio::Task<bool> respondStream(http::HttpConnection& _connection, const Call& _call, std::string _behaviour, Record& _record)
 			{
 				http::ResponseHead head = this->headFor(_call, 200);
 				head.headers.add("Content-Type", "text/event-stream");
 				std::string bytes = http::serializeChunkedHead(head);
 				co_await _connection.write(std::move(bytes));
-				if ("jump" == _what)
+				if ("jump" == _behaviour)
 				{
-					std::string piece = http::serializeChunk("id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 4\ndata: piece 4\n\n");
-					co_await _connection.write(std::move(piece));
+					std::string chunk = http::serializeChunk("id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 4\ndata: piece 4\n\n");
+					co_await _connection.write(std::move(chunk));
 					co_return false;
 				}
 				const std::optional<std::int64_t> after = http::parseInteger(_record.resumedAfter);
-				for (std::uint64_t event = after ? std::uint64_t(*after) + 1 : 1; event <= kEvents; ++event)
+				for (std::uint64_t event = after ? std::uint64_t(*after) + 1 : 1; event <= kStreamEvents; ++event)
 				{
-					co_await this->loop.timer.afterDelay(kEventMs * kj::MILLISECONDS);
+					co_await this->loop.timer.afterDelay(kEventIntervalMs * kj::MILLISECONDS);
 					if (_connection.isDisconnected())
 					{
-						_record.left += 1;
+						_record.disconnects += 1;
 						co_return false;
 					}
-					if ("crash" == _what && kEventsBeforeCrash < event)
+					if ("crash" == _behaviour && kEventsBeforeCrash < event)
 					{
-						std::_Exit(kCrashed);
+						std::_Exit(kCrashExitCode);
 					}
-					if ("skip" == _what && 3 == event)
+					if ("skip" == _behaviour && 3 == event)
 					{
 						continue;
 					}
 					std::string text = fmt::format("id: {}\ndata: piece {}\n\n", event, event);
-					const bool breaks = "break" == _what && !after && 4 == event;
+					const bool breaks = "break" == _behaviour && !after && 4 == event;
 					text.resize(breaks ? text.size() / 2 : text.size());
 					std::string chunk = http::serializeChunk(text);
 					co_await _connection.write(std::move(chunk));
@@ -328,9 +330,9 @@
 
 			std::string id;
 			std::map<std::string, Record> records;
-			bool refuses = false;
+			bool rejectsAll = false;
 			bool leaving = false;
-			Millis restUntil = 0;
+			Millis backOffUntil = 0;
 		};
 	} // namespace
 
