--- a/tools/bench.h
+++ b/tools/bench.h
@@ -1,4 +1,4 @@
-/// Benches: each prints tables of figures, and gives the same ones as JSON.
+/// Benches. Each returns tables, which archdyke-bench prints as text or JSON.
 #pragma once
 
 #include <cstdint>
@@ -8,7 +8,7 @@
 
 namespace archdyke::bench
 {
-	/// One table. The first column of a row names it.
+	/// One table. The first cell of a row is its name.
 	struct Table
 	{
 		std::string title;
@@ -18,30 +18,30 @@
 		bool operator==(const Table&) const = default;
 	};
 
-	/// Figures of several seeds: their median and how far they lie apart.
+	/// Median and range of a figure over several seeds.
 	struct Spread
 	{
 		double median = 0.0;
-		double least = 0.0;
-		double greatest = 0.0;
+		double min = 0.0;
+		double max = 0.0;
 	};
 
 	Spread spreadOf(std::vector<double> _values);
 
-	/// @returns "median (least..greatest)".
-	std::string show(const Spread& _spread, int _digits);
+	/// @returns "median (min..max)".
+	std::string formatSpread(const Spread& _spread, int _digits);
 
-	/// A line through measured points, by least squares.
+	/// Least-squares line through measured points.
 	struct Fit
 	{
 		double slope = 0.0;
-		double base = 0.0;
-		double error = 0.0; ///< Root mean square of the residuals, by the mean value.
+		double intercept = 0.0;
+		double relativeError = 0.0; ///< Root mean square of the residuals, divided by the mean value.
 	};
 
 	Fit fitLine(const std::vector<double>& _x, const std::vector<double>& _y);
 
-	constexpr int kSeeds = 5;
+	constexpr int kSeeds = 5; ///< Seeds per figure.
 
 	std::vector<Table> benchPlacement();
 	std::vector<Table> benchRouting();
--- a/tools/bench_cost.cpp
+++ b/tools/bench_cost.cpp
@@ -1,5 +1,5 @@
-/// Cost: what a request, a stream, a known agent, an organisation, a configuration version
-/// and a rank in a map switch take. Each slope from four sizes, with the fit's error.
+/// Bench of costs per request, stream, known agent, organisation, configuration version and rank in a
+/// map switch. Each cost is measured at four sizes and fitted by a line, whose error is printed.
 #include <chrono>
 #include <fmt/format.h>
 #include <fstream>
@@ -24,18 +24,19 @@
 	{
 		using Json = nlohmann::json;
 
-		double timeUs(int _times, const std::function<void()>& _work)
+		/// @returns Mean time of one call of _work, us.
+		double timeUs(int _repetitions, const std::function<void()>& _work)
 		{
-			const auto begun = std::chrono::steady_clock::now();
-			for (int index = 0; index < _times; ++index)
+			const auto start = std::chrono::steady_clock::now();
+			for (int index = 0; index < _repetitions; ++index)
 			{
 				_work();
 			}
-			return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begun).count() / _times;
+			return std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - start).count() / _repetitions;
 		}
 
-		/// Measures at several sizes and fits a line.
-		Table slope(const std::string& _title, const std::string& _size, const std::string& _unit, const std::vector<double>& _sizes, const std::function<double(double)>& _measure)
+		/// Measures at several sizes and fits a line through the results.
+		Table slopeTable(const std::string& _title, const std::string& _size, const std::string& _unit, const std::vector<double>& _sizes, const std::function<double(double)>& _measure)
 		{
 			Table table;
 			table.title = _title;
@@ -47,11 +48,11 @@
 				table.rows.push_back({fmt::format("{:.0f}", size), fmt::format("{:.3f}", values.back())});
 			}
 			const Fit fit = fitLine(_sizes, values);
-			table.rows.push_back({"fit", fmt::format("{:.3f} + {:.6f} each, error {:.0f}%", fit.base, fit.slope, 100.0 * fit.error)});
+			table.rows.push_back({"fit", fmt::format("{:.3f} + {:.6f} each, error {:.0f}%", fit.intercept, fit.slope, 100.0 * fit.relativeError)});
 			return table;
 		}
 
-		Json documentOf(int _organisations, int _agents)
+		Json makeDocument(int _organisations, int _agents)
 		{
 			Json document{{"office", "bench"}, {"zones", {{{"name", "z"}, {"region", "r"}}}}, {"services", {{{"name", "shop"}, {"kind", "plain"}, {"deadlineMs", 5000}, {"notRepeatable", {{{"method", "POST"}, {"pathPrefix", "/orders"}}}}}}}, {"organisations", Json::array()}, {"upstreams", Json::array()}};
 			for (int index = 0; index < _organisations; ++index)
@@ -73,7 +74,7 @@
 			const std::string text = _document.dump();
 			if (ssize_t(text.size()) != ::write(descriptor, text.data(), text.size()))
 			{
-				throw std::runtime_error("can't write " + path);
+				throw std::runtime_error("failed to write " + path);
 			}
 			::close(descriptor);
 			return path;
@@ -111,20 +112,20 @@
 		std::vector<Table> decisionCosts()
 		{
 			std::vector<Table> tables;
-			tables.push_back(slope("agent: one run through the ledger (offer, start, finish)", "runs remembered", "us", {1'000, 10'000, 50'000, 100'000}, [](double _size) {
+			tables.push_back(slopeTable("agent: one run through the ledger (offer, start, finish)", "runs remembered", "us", {1'000, 10'000, 50'000, 100'000}, [](double _size) {
 				Ledger ledger;
 				ledger.incarnation = 1;
 				int next = 0;
-				const auto one = [&] {
+				const auto runOnce = [&] {
 					const RunKey key{"r" + std::to_string(next++), 0};
 					offerRun(ledger, key, {1, 1, 1}, false, 0);
 					startRun(ledger, key);
 					finishRun(ledger, key, 0);
 				};
-				timeUs(int(_size), one);
-				return timeUs(20'000, one);
+				timeUs(int(_size), runOnce);
+				return timeUs(20'000, runOnce);
 			}));
-			tables.push_back(slope("agent: one run through the queue (admit, take, end)", "organisations waiting", "us", {4, 16, 64, 128}, [](double _size) {
+			tables.push_back(slopeTable("agent: one run through the queue (admit, take, end)", "organisations waiting", "us", {4, 16, 64, 128}, [](double _size) {
 				AdmissionQueue admission;
 				admission.slots = 1;
 				admission.capacity = 100'000;
@@ -144,29 +145,29 @@
 					endRun(admission, 0);
 				});
 			}));
-			tables.push_back(slope("entry: taking a configuration version (digest, parse, check)", "organisations", "ms", {500, 1'500, 3'000, 5'500}, [](double _size) {
-				const std::string text = documentOf(int(_size), 100).dump();
+			tables.push_back(slopeTable("entry: activating a configuration version (digest, parse, check)", "organisations", "ms", {500, 1'500, 3'000, 5'500}, [](double _size) {
+				const std::string text = makeDocument(int(_size), 100).dump();
 				const ConfigMark mark{1, sha256Hex(text)};
 				return timeUs(3, [&] {
 					       activate(mark, text);
 				       }) /
 				       1000.0;
 			}));
-			tables.push_back(slope("entry: bytes of a configuration version", "organisations", "KB", {500, 1'500, 3'000, 5'500}, [](double _size) {
-				return double(documentOf(int(_size), 100).dump().size()) / 1024.0;
+			tables.push_back(slopeTable("entry: bytes of a configuration version", "organisations", "KB", {500, 1'500, 3'000, 5'500}, [](double _size) {
+				return double(makeDocument(int(_size), 100).dump().size()) / 1024.0;
 			}));
-			tables.push_back(slope("entry: taking a configuration version (digest, parse, check)", "upstreams", "ms", {1'500, 3'000, 6'000, 12'000}, [](double _size) {
-				const std::string text = documentOf(1, int(_size)).dump();
+			tables.push_back(slopeTable("entry: activating a configuration version (digest, parse, check)", "upstreams", "ms", {1'500, 3'000, 6'000, 12'000}, [](double _size) {
+				const std::string text = makeDocument(1, int(_size)).dump();
 				const ConfigMark mark{1, sha256Hex(text)};
 				return timeUs(3, [&] {
 					       activate(mark, text);
 				       }) /
 				       1000.0;
 			}));
-			tables.push_back(slope("entry: bytes of a configuration version", "upstreams", "KB", {1'500, 3'000, 6'000, 12'000}, [](double _size) {
-				return double(documentOf(1, int(_size)).dump().size()) / 1024.0;
+			tables.push_back(slopeTable("entry: bytes of a configuration version", "upstreams", "KB", {1'500, 3'000, 6'000, 12'000}, [](double _size) {
+				return double(makeDocument(1, int(_size)).dump().size()) / 1024.0;
 			}));
-			tables.push_back(slope("agent: one vote message of a map switch (merge, decide)", "ranks", "us", {16, 32, 64, 128}, [](double _size) {
+			tables.push_back(slopeTable("agent: one vote message of a map switch (merge, decide)", "ranks", "us", {16, 32, 64, 128}, [](double _size) {
 				MapSwitch known;
 				receiveProposal(known, {"g", 1, 1, 1, 0, 100, 1, std::uint32_t(_size)});
 				const std::vector<MapVote> votes(std::size_t(_size), MapVote::Yes);
@@ -180,13 +181,13 @@
 			return tables;
 		}
 
-		/// One zone of plain services, kept for the time of a measurement.
+		/// An office of one zone with plain services, which runs as long as this object lives.
 		struct PlainOffice
 		{
 			explicit PlainOffice(int _agents, std::uint32_t _entries, int _organisations = 1)
 			{
 				lab::OfficeOptions options;
-				options.file = writeDocument(documentOf(_organisations, _agents));
+				options.file = writeDocument(makeDocument(_organisations, _agents));
 				options.entriesPerZone = _entries;
 				options.serviceSlots = 4;
 				options.viaProxy = true;
@@ -207,15 +208,15 @@
 			std::unique_ptr<lab::Office> office;
 		};
 
-		struct IdleFigures
+		struct IdleUsage
 		{
-			double cpu = 0.0;   ///< Share of a core.
-			double rss = 0.0;   ///< MB.
-			double bytes = 0.0; ///< To and from one entry's agents, a second; likewise below.
-			double peerBytes = 0.0;
-			double platformBytes = 0.0;
-			double calls = 0.0; ///< Of the platform, a second.
-			double writes = 0.0;
+			double cpuShare = 0.0;       ///< Share of a core.
+			double rssMb = 0.0;          ///< MB.
+			double agentBytesPerS = 0.0; ///< Between one entry and its agents; the next two: its peers, the platform.
+			double peerBytesPerS = 0.0;
+			double platformBytesPerS = 0.0;
+			double platformCallsPerS = 0.0; ///< By all entries; likewise below.
+			double platformWritesPerS = 0.0;
 		};
 
 		double linkBytes(lab::Office& _office, const std::string& _part)
@@ -229,7 +230,7 @@
 			return bytes;
 		}
 
-		IdleFigures measureIdle(PlainOffice& _office)
+		IdleUsage measureIdle(PlainOffice& _office)
 		{
 			constexpr Millis kMeasureMs = 6'000;
 			lab::pauseMs(1'500);
@@ -240,69 +241,69 @@
 			const double platformBefore = linkBytes(*_office.office, "platform<");
 			const double entries = double(_office.office->entries().size());
 			lab::pauseMs(kMeasureMs);
-			IdleFigures figures;
-			figures.cpu = (cpuMs(_office.entry()) - cpuBefore) / double(kMeasureMs);
-			figures.rss = rssMb(_office.entry());
-			figures.bytes = (linkBytes(*_office.office, "z>shop") - bytesBefore) / entries / (double(kMeasureMs) / 1000.0);
-			// Each exchange between peers costs both of them.
-			figures.peerBytes = 2.0 * (linkBytes(*_office.office, "z>entry") - peersBefore) / entries / (double(kMeasureMs) / 1000.0);
-			figures.platformBytes = (linkBytes(*_office.office, "platform<") - platformBefore) / entries / (double(kMeasureMs) / 1000.0);
+			IdleUsage usage;
+			usage.cpuShare = (cpuMs(_office.entry()) - cpuBefore) / double(kMeasureMs);
+			usage.rssMb = rssMb(_office.entry());
+			usage.agentBytesPerS = (linkBytes(*_office.office, "z>shop") - bytesBefore) / entries / (double(kMeasureMs) / 1000.0);
+			// Both peers pay for each exchange.
+			usage.peerBytesPerS = 2.0 * (linkBytes(*_office.office, "z>entry") - peersBefore) / entries / (double(kMeasureMs) / 1000.0);
+			usage.platformBytesPerS = (linkBytes(*_office.office, "platform<") - platformBefore) / entries / (double(kMeasureMs) / 1000.0);
 			const Json after = lab::sendJson(_office.office->platform(), "GET", "/control/counts");
-			figures.calls = (after["calls"].get<double>() - before["calls"].get<double>()) / (double(kMeasureMs) / 1000.0);
-			figures.writes = (after["writes"].get<double>() - before["writes"].get<double>()) / (double(kMeasureMs) / 1000.0);
-			return figures;
+			usage.platformCallsPerS = (after["calls"].get<double>() - before["calls"].get<double>()) / (double(kMeasureMs) / 1000.0);
+			usage.platformWritesPerS = (after["writes"].get<double>() - before["writes"].get<double>()) / (double(kMeasureMs) / 1000.0);
+			return usage;
 		}
 
 		std::vector<Table> idleCosts()
 		{
 			const std::vector<double> agentCounts{6, 12, 24, 48};
-			std::vector<IdleFigures> byAgents;
+			std::vector<IdleUsage> byAgents;
 			for (const double count : agentCounts)
 			{
 				PlainOffice office(int(count), 1);
 				byAgents.push_back(measureIdle(office));
 			}
-			const auto column = [&](const std::function<double(const IdleFigures&)>& _pick) {
+			const auto column = [&](const std::function<double(const IdleUsage&)>& _pick) {
 				return [&byAgents, agentCounts, _pick](double _size) {
 					const auto at = std::size_t(std::find(agentCounts.begin(), agentCounts.end(), _size) - agentCounts.begin());
 					return _pick(byAgents[at]);
 				};
 			};
 			std::vector<Table> tables;
-			tables.push_back(slope("entry: control, share of a core while idle", "agents known", "%", agentCounts, column([](const IdleFigures& _f) {
-				                       return 100.0 * _f.cpu;
-			                       })));
-			tables.push_back(slope("entry: memory while idle", "agents known", "MB", agentCounts, column([](const IdleFigures& _f) {
-				                       return _f.rss;
-			                       })));
-			tables.push_back(slope("entry: control bytes on links to agents while idle", "agents known", "KB/s", agentCounts, column([](const IdleFigures& _f) {
-				                       return _f.bytes / 1024.0;
-			                       })));
+			tables.push_back(slopeTable("entry: CPU use while idle, share of a core", "agents known", "%", agentCounts, column([](const IdleUsage& _usage) {
+				                            return 100.0 * _usage.cpuShare;
+			                            })));
+			tables.push_back(slopeTable("entry: memory while idle", "agents known", "MB", agentCounts, column([](const IdleUsage& _usage) {
+				                            return _usage.rssMb;
+			                            })));
+			tables.push_back(slopeTable("entry: control bytes on links to agents while idle", "agents known", "KB/s", agentCounts, column([](const IdleUsage& _usage) {
+				                            return _usage.agentBytesPerS / 1024.0;
+			                            })));
 			const std::vector<double> entryCounts{2, 4, 8, 12};
-			std::vector<IdleFigures> byEntries;
+			std::vector<IdleUsage> byEntries;
 			for (const double count : entryCounts)
 			{
 				PlainOffice office(2, std::uint32_t(count));
 				byEntries.push_back(measureIdle(office));
 			}
-			const auto entryColumn = [&](const std::function<double(const IdleFigures&)>& _pick) {
+			const auto entryColumn = [&](const std::function<double(const IdleUsage&)>& _pick) {
 				return [&byEntries, entryCounts, _pick](double _size) {
 					const auto at = std::size_t(std::find(entryCounts.begin(), entryCounts.end(), _size) - entryCounts.begin());
 					return _pick(byEntries[at]);
 				};
 			};
-			tables.push_back(slope("entry: control bytes with peers while idle", "entries of the zone", "KB/s", entryCounts, entryColumn([](const IdleFigures& _f) {
-				                       return _f.peerBytes / 1024.0;
-			                       })));
-			tables.push_back(slope("entry: control bytes with the platform while idle, mean of the zone", "entries of the zone", "KB/s", entryCounts, entryColumn([](const IdleFigures& _f) {
-				                       return _f.platformBytes / 1024.0;
-			                       })));
-			tables.push_back(slope("platform: calls of one zone's entries while idle", "entries of the zone", "calls/s", entryCounts, entryColumn([](const IdleFigures& _f) {
-				                       return _f.calls;
-			                       })));
-			tables.push_back(slope("platform: rows written by one zone's entries while idle", "entries of the zone", "writes/s", entryCounts, entryColumn([](const IdleFigures& _f) {
-				                       return _f.writes;
-			                       })));
+			tables.push_back(slopeTable("entry: control bytes with peers while idle", "entries of the zone", "KB/s", entryCounts, entryColumn([](const IdleUsage& _usage) {
+				                            return _usage.peerBytesPerS / 1024.0;
+			                            })));
+			tables.push_back(slopeTable("entry: control bytes with the platform while idle, mean of the zone", "entries of the zone", "KB/s", entryCounts, entryColumn([](const IdleUsage& _usage) {
+				                            return _usage.platformBytesPerS / 1024.0;
+			                            })));
+			tables.push_back(slopeTable("platform: calls of one zone's entries while idle", "entries of the zone", "calls/s", entryCounts, entryColumn([](const IdleUsage& _usage) {
+				                            return _usage.platformCallsPerS;
+			                            })));
+			tables.push_back(slopeTable("platform: rows written by one zone's entries while idle", "entries of the zone", "writes/s", entryCounts, entryColumn([](const IdleUsage& _usage) {
+				                            return _usage.platformWritesPerS;
+			                            })));
 			return tables;
 		}
 
@@ -317,7 +318,7 @@
 			load.notRepeatablePath = "/cards";
 			load.threads = 16;
 			std::uint64_t seed = 1;
-			return slope("entry: processor time of plain requests, a new connection each", "requests", "ms", {500, 1'000, 2'000, 3'000}, [&](double _size) {
+			return slopeTable("entry: CPU time of plain requests, one new connection each", "requests", "ms", {500, 1'000, 2'000, 3'000}, [&](double _size) {
 				load.requests = std::uint32_t(_size);
 				load.perSecond = 600;
 				load.seed = seed++;
@@ -327,7 +328,7 @@
 			});
 		}
 
-		/// Streams of a slow engine, all open at once.
+		/// Measures streams of a slow engine that are all open at the same time.
 		std::vector<Table> streamCosts()
 		{
 			lab::OfficeOptions options;
@@ -338,7 +339,7 @@
 			lab::Office office(options);
 			if (0 != office.apply().exitCode || !office.waitReady())
 			{
-				throw std::runtime_error("the office did not get ready");
+				throw std::runtime_error("the office did not become ready");
 			}
 			const pid_t entry = office.entries().front()->process->id();
 			std::vector<double> memory;
@@ -370,7 +371,7 @@
 					return _values[std::size_t(std::find(counts.begin(), counts.end(), _size) - counts.begin())];
 				};
 			};
-			return {slope("entry: memory with open streams", "streams", "MB", counts, at(memory)), slope("entry: processor time of a token relayed, one frame each", "streams", "us", counts, at(tokenUs))};
+			return {slopeTable("entry: memory with open streams", "streams", "MB", counts, at(memory)), slopeTable("entry: CPU time per relayed token, one frame each", "streams", "us", counts, at(tokenUs))};
 		}
 	} // namespace
 
--- a/tools/bench_main.cpp
+++ b/tools/bench_main.cpp
@@ -1,4 +1,4 @@
-/// archdyke-bench: measures the decisions by small models, and the processes by running them.
+/// archdyke-bench: measures decisions on small models, and processes by running them.
 #include <algorithm>
 #include <cmath>
 #include <cxxopts.hpp>
@@ -17,9 +17,9 @@
 		return {_values[_values.size() / 2], _values.front(), _values.back()};
 	}
 
-	std::string show(const Spread& _spread, int _digits)
+	std::string formatSpread(const Spread& _spread, int _digits)
 	{
-		return fmt::format("{:.{}f} ({:.{}f}..{:.{}f})", _spread.median, _digits, _spread.least, _digits, _spread.greatest, _digits);
+		return fmt::format("{:.{}f} ({:.{}f}..{:.{}f})", _spread.median, _digits, _spread.min, _digits, _spread.max, _digits);
 	}
 
 	Fit fitLine(const std::vector<double>& _x, const std::vector<double>& _y)
@@ -38,13 +38,13 @@
 		}
 		Fit fit;
 		fit.slope = (n * sxy - sx * sy) / (n * sxx - sx * sx);
-		fit.base = (sy - fit.slope * sx) / n;
+		fit.intercept = (sy - fit.slope * sx) / n;
 		double squares = 0.0;
 		for (std::size_t index = 0; index < _x.size(); ++index)
 		{
-			squares += std::pow(_y[index] - fit.base - fit.slope * _x[index], 2.0);
+			squares += std::pow(_y[index] - fit.intercept - fit.slope * _x[index], 2.0);
 		}
-		fit.error = std::sqrt(squares / n) / (sy / n);
+		fit.relativeError = std::sqrt(squares / n) / (sy / n);
 		return fit;
 	}
 
@@ -89,7 +89,7 @@
 			return json;
 		}
 
-		/// Tab-separated files for gnuplot, one a table; the median of a spread alone.
+		/// Writes one tab-separated file per table for gnuplot, with only the median of each spread.
 		void writePlotData(const std::string& _name, const std::vector<Table>& _tables, const std::string& _directory)
 		{
 			for (std::size_t index = 0; index < _tables.size(); ++index)
@@ -110,7 +110,7 @@
 		{
 			static const std::map<std::string, std::vector<Table> (*)()> kBenches{{"placement", benchPlacement}, {"routing", benchRouting}, {"overload", benchOverload}, {"cost", benchCost}, {"groups", benchGroups}, {"maps", benchMaps}, {"shifts", benchShifts}, {"overhead", benchOverhead}};
 			cxxopts::Options options("archdyke-bench", "Measures: placement, routing, overload, cost, groups or overhead.");
-			options.add_options()("name", "Which bench", cxxopts::value<std::string>()->default_value(""))("output", "text or json", cxxopts::value<std::string>()->default_value("text"))("plot", "Directory for plot data", cxxopts::value<std::string>()->default_value(""))("h,help", "Print this help");
+			options.add_options()("name", "Name of the bench", cxxopts::value<std::string>()->default_value(""))("output", "text or json", cxxopts::value<std::string>()->default_value("text"))("plot", "Directory for plot data", cxxopts::value<std::string>()->default_value(""))("h,help", "Print this help");
 			options.parse_positional({"name"});
 			const cxxopts::ParseResult parsed = options.parse(_argc, _argv);
 			const std::string name = parsed["name"].as<std::string>();
--- a/tools/bench_maps.cpp
+++ b/tools/bench_maps.cpp
@@ -1,5 +1,5 @@
-/// Bench of the planner of expert maps, by the size of the group: what one plan takes, and how near it
-/// comes to the best plan without limits.
+/// Bench of the planner of expert maps by group size: the time of one plan, and its skew compared with
+/// the best plan without limits.
 #include <chrono>
 #include <fmt/format.h>
 
@@ -29,7 +29,7 @@
 			return model;
 		}
 
-		/// One expert of each set draws some 24 in 100 of the choices, the others uneven shares.
+		/// One expert of each set gets about 24% of the choices, the others get uneven shares.
 		ExpertLoad hotLoad(const EngineModel& _model, Random& _random)
 		{
 			ExpertLoad load;
@@ -49,37 +49,37 @@
 		std::vector<std::string> row(const GroupSize& _size)
 		{
 			std::vector<double> ms;
-			std::vector<double> after;
+			std::vector<double> skewAfter;
 			std::vector<double> copies;
-			std::vector<double> best;
-			double before = 0.0;
+			std::vector<double> bestSkew;
+			double skewBefore = 0.0;
 			for (int seed = 1; seed <= kSeeds; ++seed)
 			{
 				Random random{std::uint64_t(seed)};
 				const ExpertLoad load = hotLoad(_size.model, random);
 				const ExpertHosts hosts = roundRobinMap(_size.model.sets, _size.model.experts, _size.ranks);
-				const auto begun = std::chrono::steady_clock::now();
+				const auto start = std::chrono::steady_clock::now();
 				const MapDecision decision = planMap(_size.model, _size.ranks, hosts, load, {120.0, 120});
-				ms.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count());
-				after.push_back(decision.skewAfter);
+				ms.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start).count());
+				skewAfter.push_back(decision.skewAfter);
 				copies.push_back(decision.copies);
-				before = decision.skewBefore;
-				PlacementInput free;
-				free.ranks = _size.ranks;
-				free.slots = _size.model.places;
-				free.hosts = hosts;
-				free.load = load;
-				best.push_back(planFromScratch(free).skewAfter);
+				skewBefore = decision.skewBefore;
+				PlacementInput unlimited;
+				unlimited.ranks = _size.ranks;
+				unlimited.slots = _size.model.places;
+				unlimited.hosts = hosts;
+				unlimited.load = load;
+				bestSkew.push_back(planFromScratch(unlimited).skewAfter);
 			}
-			return {std::to_string(_size.ranks), fmt::format("{:.2f}", before), show(spreadOf(after), 2), show(spreadOf(best), 2), show(spreadOf(copies), 0), show(spreadOf(ms), 1)};
+			return {std::to_string(_size.ranks), fmt::format("{:.2f}", skewBefore), formatSpread(spreadOf(skewAfter), 2), formatSpread(spreadOf(bestSkew), 2), formatSpread(spreadOf(copies), 0), formatSpread(spreadOf(ms), 1)};
 		}
 	} // namespace
 
 	std::vector<Table> benchMaps()
 	{
 		Table table;
-		table.title = "one plan of an expert map, from the experts dealt in turn, by ranks";
-		table.columns = {"ranks", "skew before", "after", "best without limits", "copies", "ms of a core"};
+		table.title = "one plan of an expert map, from the round-robin map, by ranks";
+		table.columns = {"ranks", "skew before", "after", "best without limits", "copies", "CPU ms"};
 		const std::vector<GroupSize> sizes{{12, modelOf(4, 72, 8, 98.0)}, {24, modelOf(16, 96, 5, 76.0)}, {63, modelOf(16, 126, 3, 15.0)}, {129, modelOf(16, 258, 3, 7.0)}};
 		for (const GroupSize& size : sizes)
 		{
--- a/tools/bench_overhead.cpp
+++ b/tools/bench_overhead.cpp
@@ -1,4 +1,4 @@
-/// Latency that the full path adds to calling a stand-in directly: both in turn, in one run.
+/// Bench of the latency that entry and agent add to a direct call of a stub. Both kinds of calls alternate in one run.
 #include <chrono>
 #include <fmt/format.h>
 #include <httplib.h>
@@ -33,13 +33,13 @@
 		double timeMs(httplib::Client& _client, const std::string& _path, const std::string& _body)
 		{
 			const httplib::Headers headers{{"Authorization", "Bearer key-alpha"}};
-			const auto begun = std::chrono::steady_clock::now();
+			const auto start = std::chrono::steady_clock::now();
 			const httplib::Result result = _client.Post(_path, headers, _body, "application/json");
 			if (!result || 200 != result->status)
 			{
-				throw std::runtime_error("a call failed");
+				throw std::runtime_error("a measured call failed");
 			}
-			return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count();
+			return std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start).count();
 		}
 
 		std::vector<std::string> rowOf(const std::string& _name, const std::vector<double>& _direct, const std::vector<double>& _through)
@@ -61,12 +61,12 @@
 			std::vector<double> throughMs;
 			for (int index = 0; index < _calls; ++index)
 			{
-				const double a = timeMs(direct, _directPath, _body);
-				const double b = timeMs(through, _path, _body);
+				const double directCallMs = timeMs(direct, _directPath, _body);
+				const double throughCallMs = timeMs(through, _path, _body);
 				if (_calls / 10 < index)
 				{
-					directMs.push_back(a);
-					throughMs.push_back(b);
+					directMs.push_back(directCallMs);
+					throughMs.push_back(throughCallMs);
 				}
 			}
 			return rowOf(_name, directMs, throughMs);
@@ -81,7 +81,7 @@
 					return stub.address;
 				}
 			}
-			throw std::runtime_error("no upstream " + _upstream);
+			throw std::runtime_error("unknown upstream " + _upstream);
 		}
 	} // namespace
 
@@ -97,12 +97,12 @@
 		});
 		if (0 != office.apply(file).exitCode || !office.waitReady())
 		{
-			throw std::runtime_error("the office did not get ready");
+			throw std::runtime_error("the office did not become ready");
 		}
 		const std::string entry = office.entries().front()->http;
 		const std::string chat = R"({"model":"chat","messages":[{"role":"user","content":"hello"}],"max_tokens":8})";
 		Table table;
-		table.title = "overhead, one caller, direct and through entry and agent in turn, ms";
+		table.title = "overhead, one caller, alternating direct calls and calls through entry and agent, ms";
 		table.columns = {"call", "p50 direct / through", "p50 added", "p99 direct / through", "p99 added"};
 		table.rows.push_back(compare("plain service", addressOf(office, "shop-1"), "/cards", entry, "/shop/cards", R"({"token":"x"})", kCalls));
 		table.rows.push_back(compare("model, 8 tokens, steps of 4.5 ms", addressOf(office, "chat-1"), "/v1/chat/completions", entry, "/v1/chat/completions", chat, kModelCalls));
--- a/tools/bench_overload.cpp
+++ b/tools/bench_overload.cpp
@@ -1,5 +1,5 @@
-/// Overload: a burst of three times capacity, one organisation flooding nine others. The
-/// agent's queue against a plain first-come queue that refuses only when it is full.
+/// Bench of overload: a burst of three times capacity in which one organisation floods nine others.
+/// Compares the agent's queue with a first-come-first-served queue that refuses only when it is full.
 #include <algorithm>
 #include <deque>
 #include <fmt/format.h>
@@ -18,30 +18,30 @@
 		constexpr Millis kRunMs = 100;
 		constexpr Millis kDeadlineMs = 1'500;
 		constexpr Millis kBurstMs = 60'000;
-		constexpr Millis kLengthMs = 300'000; ///< With the quiet time after the burst.
+		constexpr Millis kDurationMs = 300'000; ///< Includes the quiet time after the burst.
 		constexpr std::size_t kCapacity = 256;
-		constexpr int kSmall = 9;
-		constexpr double kPerMs = double(kSlots) / double(kRunMs); ///< Capacity.
-		constexpr int kMostTries = 8;
+		constexpr int kSmallOrganisations = 9;
+		constexpr double kCapacityPerMs = double(kSlots) / double(kRunMs); ///< Runs that the slots complete per ms.
+		constexpr int kMaxAttempts = 8;
 
 		struct Caller
 		{
 			std::string organisation;
 			Millis firstAt = 0;
-			int tries = 0;
+			int attempts = 0;
 		};
 
-		struct Figures
+		struct Metrics
 		{
-			double goodput = 0.0;      ///< Served in time, by capacity.
-			double smallShare = 0.0;   ///< Least of the small ones' served, by its fair share.
-			double servedAtAll = 0.0;  ///< Of all callers, after coming back.
-			double retries = 0.0;      ///< Sendings for each caller.
-			double rightRetry = 0.0;   ///< Retries at the time told that got in.
-			double lateRefusals = 0.0; ///< Refused only after waiting.
+			double goodput = 0.0;            ///< Runs served in time during the burst, relative to capacity.
+			double minSmallShare = 0.0;      ///< Minimum over small organisations of runs served relative to the fair share.
+			double servedShare = 0.0;        ///< Share of callers served, retries included.
+			double attemptsPerCaller = 0.0;  ///< Attempts per caller.
+			double admittedRetryShare = 0.0; ///< Share of retries, sent after the given delay, that were admitted.
+			double lateRefusalShare = 0.0;   ///< Share of refusals after waiting in the queue.
 		};
 
-		/// The plain queue behind the same face.
+		/// First-come-first-served queue to compare with.
 		struct PlainQueue
 		{
 			std::deque<QueuedRun> waiting;
@@ -55,29 +55,29 @@
 			    : plain(_plain)
 			    , random(_seed)
 			{
-				this->fair.slots = kSlots;
-				this->fair.capacity = kCapacity;
-				this->fair.meanRunMs = kRunMs;
+				this->admission.slots = kSlots;
+				this->admission.capacity = kCapacity;
+				this->admission.meanRunMs = kRunMs;
 			}
 
-			Figures run()
+			Metrics run()
 			{
-				std::poisson_distribution<int> flood(kPerMs * 2.55);
-				std::poisson_distribution<int> quiet(kPerMs * 0.05);
-				std::poisson_distribution<int> small(kPerMs * 0.05);
-				for (this->now = 0; this->now < kLengthMs; ++this->now)
+				std::poisson_distribution<int> flood(kCapacityPerMs * 2.55);
+				std::poisson_distribution<int> quiet(kCapacityPerMs * 0.05);
+				std::poisson_distribution<int> small(kCapacityPerMs * 0.05);
+				for (this->now = 0; this->now < kDurationMs; ++this->now)
 				{
 					const bool burst = this->now < kBurstMs;
 					this->arrive("large", burst ? flood(this->random) : quiet(this->random));
-					for (int index = 0; index < kSmall; ++index)
+					for (int index = 0; index < kSmallOrganisations; ++index)
 					{
 						this->arrive("small" + std::to_string(index), small(this->random));
 					}
-					this->comeBack();
+					this->sendDueRetries();
 					this->finishRuns();
 					this->startRuns();
 				}
-				return this->figures();
+				return this->metrics();
 			}
 
 		private:
@@ -87,7 +87,7 @@
 				{
 					const std::string id = std::to_string(this->nextId++);
 					this->callers[id] = {_organisation, this->now, 0};
-					this->asked[_organisation] += 1;
+					this->requested[_organisation] += 1;
 					this->send(id, false);
 				}
 			}
@@ -95,32 +95,32 @@
 			void send(const std::string& _id, bool _isRetry)
 			{
 				Caller& caller = this->callers[_id];
-				caller.tries += 1;
-				this->sendings += 1;
+				caller.attempts += 1;
+				this->requestsSent += 1;
 				const QueuedRun run{{_id, 0}, caller.organisation, 1, this->now + kDeadlineMs, this->now};
-				bool taken = true;
+				bool admitted = true;
 				Millis retryAfter = 1'000;
 				if (this->plain)
 				{
-					taken = this->queue.waiting.size() < kCapacity;
-					if (taken)
+					admitted = this->plainQueue.waiting.size() < kCapacity;
+					if (admitted)
 					{
-						this->queue.waiting.push_back(run);
+						this->plainQueue.waiting.push_back(run);
 					}
 				}
 				else
 				{
-					const AdmissionResult result = admitRun(this->fair, run, this->now);
-					taken = RefusalReason::None == result.refusal;
+					const AdmissionResult result = admitRun(this->admission, run, this->now);
+					admitted = RefusalReason::None == result.refusal;
 					retryAfter = result.retryAfterMs;
 					if (result.evicted)
 					{
 						this->refuse(result.evicted->requestId, result.retryAfterMs, true);
 					}
 				}
-				this->retrySent += _isRetry ? 1 : 0;
-				this->retryTaken += _isRetry && taken ? 1 : 0;
-				if (!taken)
+				this->retriesSent += _isRetry ? 1 : 0;
+				this->retriesAdmitted += _isRetry && admitted ? 1 : 0;
+				if (!admitted)
 				{
 					this->refuse(_id, retryAfter, false);
 				}
@@ -129,39 +129,39 @@
 			void refuse(const std::string& _id, Millis _retryAfterMs, bool _late)
 			{
 				this->refusals += 1;
-				this->late += _late ? 1 : 0;
-				if (this->callers[_id].tries < kMostTries)
+				this->refusalsAfterWaiting += _late ? 1 : 0;
+				if (this->callers[_id].attempts < kMaxAttempts)
 				{
-					this->back.emplace(this->now + std::max<Millis>(1, _retryAfterMs), _id);
+					this->pendingRetries.emplace(this->now + std::max<Millis>(1, _retryAfterMs), _id);
 				}
 			}
 
-			void comeBack()
+			void sendDueRetries()
 			{
-				while (!this->back.empty() && this->back.begin()->first <= this->now)
+				while (!this->pendingRetries.empty() && this->pendingRetries.begin()->first <= this->now)
 				{
-					const std::string id = this->back.begin()->second;
-					this->back.erase(this->back.begin());
+					const std::string id = this->pendingRetries.begin()->second;
+					this->pendingRetries.erase(this->pendingRetries.begin());
 					this->send(id, true);
 				}
 			}
 
 			void finishRuns()
 			{
-				while (!this->ends.empty() && this->ends.begin()->first <= this->now)
+				while (!this->runEnds.empty() && this->runEnds.begin()->first <= this->now)
 				{
-					const QueuedRun run = this->ends.begin()->second;
-					this->ends.erase(this->ends.begin());
+					const QueuedRun run = this->runEnds.begin()->second;
+					this->runEnds.erase(this->runEnds.begin());
 					const bool inTime = this->now <= run.deadline;
 					this->served[run.organisation] += inTime ? 1 : 0;
 					this->servedInBurst += inTime && this->now < kBurstMs ? 1 : 0;
 					if (this->plain)
 					{
-						this->queue.running -= 1;
+						this->plainQueue.running -= 1;
 					}
 					else
 					{
-						endRun(this->fair, kRunMs);
+						endRun(this->admission, kRunMs);
 					}
 				}
 			}
@@ -170,17 +170,17 @@
 			{
 				if (this->plain)
 				{
-					while (!this->queue.waiting.empty() && this->queue.running < kSlots)
+					while (!this->plainQueue.waiting.empty() && this->plainQueue.running < kSlots)
 					{
-						this->ends.emplace(this->now + kRunMs, this->queue.waiting.front());
-						this->queue.waiting.pop_front();
-						this->queue.running += 1;
+						this->runEnds.emplace(this->now + kRunMs, this->plainQueue.waiting.front());
+						this->plainQueue.waiting.pop_front();
+						this->plainQueue.running += 1;
 					}
 					return;
 				}
 				while (true)
 				{
-					const TakeResult result = takeRun(this->fair, this->now);
+					const TakeResult result = takeRun(this->admission, this->now);
 					for (const RunKey& expired : result.expired)
 					{
 						this->refuse(expired.requestId, 100, true);
@@ -189,77 +189,77 @@
 					{
 						return;
 					}
-					this->ends.emplace(this->now + kRunMs, *result.next);
+					this->runEnds.emplace(this->now + kRunMs, *result.next);
 				}
 			}
 
-			Figures figures()
+			Metrics metrics()
 			{
-				Figures result;
-				result.smallShare = 1e9;
+				Metrics result;
+				result.minSmallShare = 1e9;
 				int all = 0;
 				for (const auto& [organisation, count] : this->served)
 				{
 					all += count;
 				}
-				result.servedAtAll = double(all) / double(this->callers.size());
-				for (int index = 0; index < kSmall; ++index)
+				result.servedShare = double(all) / double(this->callers.size());
+				for (int index = 0; index < kSmallOrganisations; ++index)
 				{
-					// A small one asks for less than a tenth, so its fair share is what it asks.
+					// A small organisation requests less than a tenth of capacity, so its fair share is all it requests.
 					const std::string name = "small" + std::to_string(index);
-					result.smallShare = std::min(result.smallShare, double(this->served[name]) / double(this->asked[name]));
+					result.minSmallShare = std::min(result.minSmallShare, double(this->served[name]) / double(this->requested[name]));
 				}
-				result.goodput = double(this->servedInBurst) / (kPerMs * double(kBurstMs));
-				result.retries = double(this->sendings) / double(this->callers.size());
-				result.rightRetry = 0 == this->retrySent ? 1.0 : double(this->retryTaken) / double(this->retrySent);
-				result.lateRefusals = this->refusals == 0 ? 0.0 : double(this->late) / double(this->refusals);
+				result.goodput = double(this->servedInBurst) / (kCapacityPerMs * double(kBurstMs));
+				result.attemptsPerCaller = double(this->requestsSent) / double(this->callers.size());
+				result.admittedRetryShare = 0 == this->retriesSent ? 1.0 : double(this->retriesAdmitted) / double(this->retriesSent);
+				result.lateRefusalShare = this->refusals == 0 ? 0.0 : double(this->refusalsAfterWaiting) / double(this->refusals);
 				return result;
 			}
 
 			const bool plain;
 			Random random;
-			AdmissionQueue fair;
-			PlainQueue queue;
+			AdmissionQueue admission;
+			PlainQueue plainQueue;
 			Millis now = 0;
 			std::uint64_t nextId = 0;
 			std::map<std::string, Caller> callers;
-			std::multimap<Millis, std::string> back;
-			std::multimap<Millis, QueuedRun> ends;
+			std::multimap<Millis, std::string> pendingRetries;
+			std::multimap<Millis, QueuedRun> runEnds;
 			std::map<std::string, int> served;
-			std::map<std::string, int> asked;
+			std::map<std::string, int> requested;
 			int servedInBurst = 0;
-			int sendings = 0;
+			int requestsSent = 0;
 			int refusals = 0;
-			int late = 0;
-			int retrySent = 0;
-			int retryTaken = 0;
+			int refusalsAfterWaiting = 0;
+			int retriesSent = 0;
+			int retriesAdmitted = 0;
 		};
 	} // namespace
 
 	std::vector<Table> benchOverload()
 	{
 		Table table;
-		table.title = fmt::format("overload, three times capacity for {} s, then half of it; one organisation sends 85% of the burst, nine others 5% of capacity each; callers come back when told, {} times at most; {} seeds", kBurstMs / 1000, kMostTries - 1, kSeeds);
-		table.columns = {"version", "goodput in the burst %", "callers served in the end %", "worst small one's share %", "sendings a caller", "retries that got in %", "refused after waiting %"};
+		table.title = fmt::format("overload, three times capacity for {} s, then half of it; one organisation sends 85% of the burst, nine others 5% of capacity each; callers retry after the given delay, {} times at most; {} seeds", kBurstMs / 1000, kMaxAttempts - 1, kSeeds);
+		table.columns = {"version", "goodput in the burst %", "callers served eventually %", "min share of a small organisation %", "attempts per caller", "retries admitted %", "refused after waiting %"};
 		for (const bool plain : {true, false})
 		{
 			std::vector<double> goodput;
-			std::vector<double> atAll;
+			std::vector<double> servedShares;
 			std::vector<double> share;
-			std::vector<double> retries;
-			std::vector<double> right;
-			std::vector<double> late;
+			std::vector<double> attemptsPerCaller;
+			std::vector<double> admittedRetries;
+			std::vector<double> lateRefusals;
 			for (int seed = 1; seed <= kSeeds; ++seed)
 			{
-				const Figures figures = Simulation(plain, std::uint64_t(seed)).run();
-				goodput.push_back(100.0 * figures.goodput);
-				atAll.push_back(100.0 * figures.servedAtAll);
-				share.push_back(100.0 * figures.smallShare);
-				retries.push_back(figures.retries);
-				right.push_back(100.0 * figures.rightRetry);
-				late.push_back(100.0 * figures.lateRefusals);
+				const Metrics metrics = Simulation(plain, std::uint64_t(seed)).run();
+				goodput.push_back(100.0 * metrics.goodput);
+				servedShares.push_back(100.0 * metrics.servedShare);
+				share.push_back(100.0 * metrics.minSmallShare);
+				attemptsPerCaller.push_back(metrics.attemptsPerCaller);
+				admittedRetries.push_back(100.0 * metrics.admittedRetryShare);
+				lateRefusals.push_back(100.0 * metrics.lateRefusalShare);
 			}
-			table.rows.push_back({plain ? "first come, refuse when full" : "archdyke", show(spreadOf(goodput), 1), show(spreadOf(atAll), 1), show(spreadOf(share), 1), show(spreadOf(retries), 2), show(spreadOf(right), 1), show(spreadOf(late), 1)});
+			table.rows.push_back({plain ? "first come first served, refuse when full" : "archdyke", formatSpread(spreadOf(goodput), 1), formatSpread(spreadOf(servedShares), 1), formatSpread(spreadOf(share), 1), formatSpread(spreadOf(attemptsPerCaller), 2), formatSpread(spreadOf(admittedRetries), 1), formatSpread(spreadOf(lateRefusals), 1)});
 		}
 		return {table};
 	}
--- a/tools/bench_placement.cpp
+++ b/tools/bench_placement.cpp
@@ -1,4 +1,4 @@
-/// Placement under drift: skew against experts moved, over seeded traces of both offices.
+/// Bench of placement under drift: skew and number of moved experts, on seeded traces like those of both offices.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -42,7 +42,7 @@
 			return base;
 		}
 
-		/// How much the season adds to a popular expert in a window.
+		/// @returns Factor by which the season raises the load of a popular expert in a window.
 		double seasonFactor(Season _season, std::size_t _window, std::size_t _burst)
 		{
 			if (Season::Cycling == _season)
@@ -95,7 +95,7 @@
 			return trace;
 		}
 
-		struct Run
+		struct TraceResult
 		{
 			double meanSkew = 0.0;
 			double p99Skew = 0.0;
@@ -103,7 +103,7 @@
 			double switches = 0.0;
 		};
 
-		/// Decides at the end of a window; the plan serves the next one.
+		/// Plans at the end of a window; the plan applies to the next one.
 		using Decide = std::function<PlacementPlan(const PlacementInput&, std::size_t)>;
 
 		PlacementInput startInput(std::uint32_t _ranks)
@@ -122,39 +122,39 @@
 			return input;
 		}
 
-		Run runTrace(const Trace& _trace, std::uint32_t _ranks, const Decide& _decide)
+		TraceResult runTrace(const Trace& _trace, std::uint32_t _ranks, const Decide& _decide)
 		{
 			PlacementInput input = startInput(_ranks);
-			// Everybody starts from a good map of the first window, at no cost.
+			// All versions start from a good map for the first window, at no cost.
 			input.load = _trace.front();
 			input.hosts = planFromScratch(input).hosts;
 			std::vector<double> skews;
-			Run run;
+			TraceResult result;
 			for (std::size_t window = 1; window < _trace.size(); ++window)
 			{
 				skews.push_back(skewOf(input.hosts, _trace[window], _ranks));
 				input.load = _trace[window];
 				const PlacementPlan plan = _decide(input, window);
-				run.staged += plan.staged;
-				run.switches += 0 < plan.staged ? 1.0 : 0.0;
+				result.staged += plan.staged;
+				result.switches += 0 < plan.staged ? 1.0 : 0.0;
 				input.hosts = plan.hosts;
 			}
 			for (const double skew : skews)
 			{
-				run.meanSkew += skew / double(skews.size());
+				result.meanSkew += skew / double(skews.size());
 			}
-			run.p99Skew = lab::quantile(skews, 0.99);
-			return run;
+			result.p99Skew = lab::quantile(skews, 0.99);
+			return result;
 		}
 
-		Decide never()
+		Decide neverMove()
 		{
 			return [](const PlacementInput& _input, std::size_t) {
 				return PlacementPlan{_input.hosts, 0, 0.0, 0.0};
 			};
 		}
 
-		Decide everyWindow()
+		Decide replanEveryWindow()
 		{
 			return [](const PlacementInput& _input, std::size_t) {
 				return planFromScratch(_input);
@@ -170,7 +170,7 @@
 			};
 		}
 
-		Decide own(PlacementPolicy _policy)
+		Decide archdykePolicy(PlacementPolicy _policy)
 		{
 			return [_policy, state = PlacementState{}](const PlacementInput& _input, std::size_t _window) mutable {
 				return decidePlacement(state, _input, _policy, Millis(_window) * kWindowMs);
@@ -185,20 +185,20 @@
 
 		Table compare(Season _season, std::uint32_t _ranks)
 		{
-			// The numbers of examples/: by layer and rank, so that they mean the same at both sizes.
+			// Settings of examples/, scaled by layers and ranks so that they are equivalent at both sizes.
 			const double scale = double(kLayers * _ranks) / 48.0;
 			const std::vector<Version> versions{
 			    {"never move", [](const Trace&) {
-				     return never();
+				     return neverMove();
 			     }},
-			    {"anew every window", [](const Trace&) {
-				     return everyWindow();
+			    {"replan every window", [](const Trace&) {
+				     return replanEveryWindow();
 			     }},
-			    {"archdyke, menu's numbers", [=](const Trace&) {
-				     return own({0.01, 480.0 * scale});
+			    {"archdyke, menu settings", [=](const Trace&) {
+				     return archdykePolicy({0.01, 480.0 * scale});
 			     }},
-			    {"archdyke, hallavegir's numbers", [=](const Trace&) {
-				     return own({0.08, 20.0 * scale});
+			    {"archdyke, hallavegir settings", [=](const Trace&) {
+				     return archdykePolicy({0.08, 20.0 * scale});
 			     }},
 			    {"oracle, next window", [](const Trace& _trace) {
 				     return oracle(_trace);
@@ -215,18 +215,18 @@
 				for (int seed = 1; seed <= kSeeds; ++seed)
 				{
 					const Trace trace = makeTrace(_season, std::uint64_t(seed));
-					const Run run = runTrace(trace, _ranks, version.make(trace));
-					mean.push_back(100.0 * run.meanSkew);
-					p99.push_back(100.0 * run.p99Skew);
-					staged.push_back(run.staged);
-					switches.push_back(run.switches);
+					const TraceResult result = runTrace(trace, _ranks, version.make(trace));
+					mean.push_back(100.0 * result.meanSkew);
+					p99.push_back(100.0 * result.p99Skew);
+					staged.push_back(result.staged);
+					switches.push_back(result.switches);
 				}
-				table.rows.push_back({version.name, show(spreadOf(mean), 1), show(spreadOf(p99), 1), show(spreadOf(staged), 0), show(spreadOf(switches), 0)});
+				table.rows.push_back({version.name, formatSpread(spreadOf(mean), 1), formatSpread(spreadOf(p99), 1), formatSpread(spreadOf(staged), 0), formatSpread(spreadOf(switches), 0)});
 			}
 			return table;
 		}
 
-		/// Time of one plan on one core, by the number of layers.
+		/// Measures the time of one plan on one core by the number of layers.
 		Table planTime()
 		{
 			Table table;
@@ -252,16 +252,16 @@
 						input.load.push_back(trace[120][layer % kLayers]);
 					}
 					input.budget = 1e9;
-					const auto begun = std::chrono::steady_clock::now();
+					const auto start = std::chrono::steady_clock::now();
 					planMoves(input, 0.05);
-					ms.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begun).count());
+					ms.push_back(std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start).count());
 				}
-				table.rows.push_back({std::to_string(count), show(spreadOf(ms), 1)});
+				table.rows.push_back({std::to_string(count), formatSpread(spreadOf(ms), 1)});
 				layers.push_back(count);
 				times.push_back(spreadOf(ms).median);
 			}
 			const Fit fit = fitLine(layers, times);
-			table.rows.push_back({"fit", fmt::format("{:.2f} + {:.3f} a layer, error {:.0f}%", fit.base, fit.slope, 100.0 * fit.error)});
+			table.rows.push_back({"fit", fmt::format("{:.2f} + {:.3f} per layer, error {:.0f}%", fit.intercept, fit.slope, 100.0 * fit.relativeError)});
 			return table;
 		}
 	} // namespace
--- a/tools/bench_routing.cpp
+++ b/tools/bench_routing.cpp
@@ -1,5 +1,5 @@
-/// Routing with lagging reports: versions side by side on a model of agents with slots, a
-/// step time and a prefix cache.
+/// Bench of routing with stale load reports: compares versions of the choice on a model of agents with
+/// slots, a step time and a prefix cache.
 #include <algorithm>
 #include <chrono>
 #include <deque>
@@ -19,12 +19,12 @@
 		constexpr std::uint32_t kZones = 2;
 		constexpr std::uint32_t kSlots = 16;
 		constexpr double kStepMs = 4.5;
-		constexpr double kReportMs = 400.0;
-		constexpr std::uint32_t kTokens = 60;
-		constexpr std::uint32_t kMissSteps = 10;
+		constexpr double kReportIntervalMs = 400.0;
+		constexpr std::uint32_t kTokensPerJob = 60;
+		constexpr std::uint32_t kPrefillStepsOnMiss = 10;
 		constexpr std::size_t kCachedPrefixes = 16;
-		constexpr std::uint32_t kPrefixes = 200;
-		constexpr std::size_t kQueue = 64;
+		constexpr std::uint32_t kDistinctPrefixes = 200;
+		constexpr std::size_t kMaxWaiting = 64;
 		constexpr int kSteps = 4'000;
 
 		struct Job
@@ -33,7 +33,7 @@
 			std::uint64_t prefix = 0;
 			std::uint32_t stepsLeft = 0;
 			std::uint32_t prefill = 0;
-			bool first = true;
+			bool awaitsFirstToken = true;
 		};
 
 		struct Server
@@ -48,14 +48,14 @@
 
 		struct Conditions
 		{
-			double rho = 0.5;
-			bool stalledOne = false;
-			bool zoneCut = false;
+			double utilization = 0.5;
+			bool oneAgentStalls = false;
+			bool zonesDisconnected = false;
 		};
 
 		struct Result
 		{
-			std::vector<double> first;
+			std::vector<double> firstTokenMs;
 			double hits = 0.0;
 			double started = 0.0;
 			double refused = 0.0;
@@ -69,8 +69,8 @@
 			std::vector<AgentCandidate> candidates;
 			for (std::size_t index = 0; index < _servers.size(); ++index)
 			{
-				const bool own = _zone == index / kAgentsPerZone;
-				candidates.push_back({stableHash(std::to_string(index)), own || !_conditions.zoneCut, own, own ? 0.0 : 1.5, kSlots, _servers[index].reported, _servers[index].sentSinceReport, kStepMs * kTokens});
+				const bool isLocal = _zone == index / kAgentsPerZone;
+				candidates.push_back({stableHash(std::to_string(index)), isLocal || !_conditions.zonesDisconnected, isLocal, isLocal ? 0.0 : 1.5, kSlots, _servers[index].reported, _servers[index].sentSinceReport, kStepMs * kTokensPerJob});
 			}
 			return candidates;
 		}
@@ -86,16 +86,16 @@
 				Job job = _server.waiting.front();
 				_server.waiting.pop_front();
 				const auto cached = std::find(_server.cache.begin(), _server.cache.end(), job.prefix);
-				const bool hit = _server.cache.end() != cached;
-				_result.hits += hit ? 1.0 : 0.0;
+				const bool isHit = _server.cache.end() != cached;
+				_result.hits += isHit ? 1.0 : 0.0;
 				_result.started += 1.0;
-				if (hit)
+				if (isHit)
 				{
 					_server.cache.erase(cached);
 				}
 				_server.cache.push_front(job.prefix);
 				_server.cache.resize(std::min(_server.cache.size(), kCachedPrefixes));
-				job.prefill = hit ? 1 : kMissSteps;
+				job.prefill = isHit ? 1 : kPrefillStepsOnMiss;
 				_server.running.push_back(job);
 			}
 			for (Job& job : _server.running)
@@ -105,10 +105,10 @@
 					job.prefill -= 1;
 					continue;
 				}
-				if (job.first)
+				if (job.awaitsFirstToken)
 				{
-					_result.first.push_back(_nowMs + kStepMs - job.arrivedMs);
-					job.first = false;
+					_result.firstTokenMs.push_back(_nowMs + kStepMs - job.arrivedMs);
+					job.awaitsFirstToken = false;
 				}
 				job.stepsLeft -= 1;
 			}
@@ -122,15 +122,15 @@
 			Random random(_seed);
 			std::vector<Server> servers(std::size_t(kAgentsPerZone) * kZones);
 			Result result;
-			// Capacity: slots by the steps of a job, half of whose prefixes miss.
-			const double stepsPerJob = double(kTokens) + 0.5 * kMissSteps;
-			const double perStep = _conditions.rho * double(servers.size() * kSlots) / stepsPerJob;
+			// Capacity is slots divided by steps per job; assumes that half of the prefixes miss the cache.
+			const double stepsPerJob = double(kTokensPerJob) + 0.5 * kPrefillStepsOnMiss;
+			const double perStep = _conditions.utilization * double(servers.size() * kSlots) / stepsPerJob;
 			std::poisson_distribution<int> arrivals(perStep);
 			for (int step = 0; step < kSteps; ++step)
 			{
 				const double nowMs = step * kStepMs;
-				servers.front().stalled = _conditions.stalledOne && step % 1'000 >= 500;
-				if (0 == step % int(kReportMs / kStepMs))
+				servers.front().stalled = _conditions.oneAgentStalls && step % 1'000 >= 500;
+				if (0 == step % int(kReportIntervalMs / kStepMs))
 				{
 					for (Server& server : servers)
 					{
@@ -140,16 +140,16 @@
 				}
 				for (int arrival = arrivals(random); 0 < arrival; --arrival)
 				{
-					const std::uint64_t prefix = std::min(randomBelow(random, kPrefixes), randomBelow(random, kPrefixes));
+					const std::uint64_t prefix = std::min(randomBelow(random, kDistinctPrefixes), randomBelow(random, kDistinctPrefixes));
 					const auto zone = std::uint32_t(randomBelow(random, kZones));
 					const std::optional<std::size_t> chosen = _choose(candidatesOf(servers, zone, _conditions), prefix, random);
 					result.arrived += 1.0;
-					if (!chosen || kQueue <= servers[*chosen].waiting.size())
+					if (!chosen || kMaxWaiting <= servers[*chosen].waiting.size())
 					{
 						result.refused += 1.0;
 						continue;
 					}
-					servers[*chosen].waiting.push_back({nowMs, prefix, kTokens, 0, true});
+					servers[*chosen].waiting.push_back({nowMs, prefix, kTokensPerJob, 0, true});
 					servers[*chosen].sentSinceReport += 1;
 				}
 				for (Server& server : servers)
@@ -199,7 +199,7 @@
 		Table compare(const std::string& _title, const Conditions& _conditions)
 		{
 			Table table;
-			table.title = fmt::format("routing, {}, {} agents of {} slots in {} zones, reports every {:.0f} ms, {} seeds", _title, kAgentsPerZone * kZones, kSlots, kZones, kReportMs, kSeeds);
+			table.title = fmt::format("routing, {}, {} agents of {} slots in {} zones, reports every {:.0f} ms, {} seeds", _title, kAgentsPerZone * kZones, kSlots, kZones, kReportIntervalMs, kSeeds);
 			table.columns = {"version", "first token p50 ms", "p95 ms", "p99 ms", "prefix hits %", "refused %"};
 			for (const Version& version : versions())
 			{
@@ -211,13 +211,13 @@
 				for (int seed = 1; seed <= kSeeds; ++seed)
 				{
 					const Result result = simulate(version.make(), _conditions, std::uint64_t(seed));
-					p50.push_back(lab::quantile(result.first, 0.5));
-					p95.push_back(lab::quantile(result.first, 0.95));
-					p99.push_back(lab::quantile(result.first, 0.99));
+					p50.push_back(lab::quantile(result.firstTokenMs, 0.5));
+					p95.push_back(lab::quantile(result.firstTokenMs, 0.95));
+					p99.push_back(lab::quantile(result.firstTokenMs, 0.99));
 					hits.push_back(100.0 * result.hits / result.started);
 					refused.push_back(100.0 * result.refused / result.arrived);
 				}
-				table.rows.push_back({version.name, show(spreadOf(p50), 1), show(spreadOf(p95), 1), show(spreadOf(p99), 1), show(spreadOf(hits), 1), show(spreadOf(refused), 1)});
+				table.rows.push_back({version.name, formatSpread(spreadOf(p50), 1), formatSpread(spreadOf(p95), 1), formatSpread(spreadOf(p99), 1), formatSpread(spreadOf(hits), 1), formatSpread(spreadOf(refused), 1)});
 			}
 			return table;
 		}
@@ -239,18 +239,18 @@
 				Random random(1);
 				constexpr int kChoices = 200'000;
 				std::size_t sum = 0;
-				const auto begun = std::chrono::steady_clock::now();
+				const auto start = std::chrono::steady_clock::now();
 				for (int index = 0; index < kChoices; ++index)
 				{
 					sum += *chooseAgent(candidates, std::uint64_t(index), random);
 				}
-				const double us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - begun).count() / kChoices;
+				const double us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - start).count() / kChoices;
 				table.rows.push_back({std::to_string(count), fmt::format("{:.2f}", us + (0 == sum ? 1e-9 : 0.0))});
 				counts.push_back(double(count));
 				times.push_back(us);
 			}
 			const Fit fit = fitLine(counts, times);
-			table.rows.push_back({"fit", fmt::format("{:.2f} + {:.4f} a candidate, error {:.0f}%", fit.base, fit.slope, 100.0 * fit.error)});
+			table.rows.push_back({"fit", fmt::format("{:.2f} + {:.4f} per candidate, error {:.0f}%", fit.intercept, fit.slope, 100.0 * fit.relativeError)});
 			return table;
 		}
 	} // namespace
--- a/tools/bench_shifts.cpp
+++ b/tools/bench_shifts.cpp
@@ -1,6 +1,5 @@
-/// Bench of how large a switch of maps should be: skew over time while other topics come up, by the
-/// copies that a rank makes in a switch. Apart from any group: a switch takes the time of its copies
-/// and a part of its own.
+/// Bench of the size of a map switch: skew over time while topics change, by the number of copies per
+/// rank and switch. A model without a group: a switch takes a fixed time plus the time of its copies.
 #include <array>
 #include <cmath>
 #include <fmt/format.h>
@@ -18,28 +17,28 @@
 	{
 		constexpr std::uint32_t kRanks = 24;
 		constexpr double kCopyMs = 76.0;
-		/// A switch of n copies a rank took 380 + 55 n ms in a group of 24 (450 ms with 1, 600 with 4).
-		constexpr double kSwitchMs = 380.0;
+		/// A switch with n copies per rank took 380 + 55 n ms in a group of 24 (450 ms with 1, 600 ms with 4).
+		constexpr double kSwitchBaseMs = 380.0;
 		constexpr double kSwitchMsPerCopy = 55.0;
-		/// Until counts of a new topic are there, ms: the window that maps are planned from.
-		constexpr double kNoticedMs = 200.0;
+		/// Delay until the counts show a new topic: the window that maps are planned from.
+		constexpr double kDetectionDelayMs = 200.0;
 		constexpr double kTickMs = 50.0;
-		constexpr double kShiftEveryMs = 3'500.0;
-		constexpr double kWarmMs = 12'000.0;
-		constexpr double kLengthMs = 60'000.0;
-		/// A pass without skew, ms, and the share of it that experts take.
+		constexpr double kShiftIntervalMs = 3'500.0;
+		constexpr double kWarmUpMs = 12'000.0;
+		constexpr double kDurationMs = 60'000.0;
+		/// Duration of a pass without skew, and the share of it that experts take.
 		constexpr double kPassMs = 44.0;
 		constexpr double kExpertShare = 0.85;
 		constexpr Millis kGapObjectiveMs = 150;
-		/// Skew from which on passes take longer than the objective with this batch, prompts included.
-		constexpr double kTooMuch = 1.0;
+		/// Skew above which passes exceed the objective with this batch, prompts included.
+		constexpr double kExcessiveSkew = 1.0;
 
 		enum class Demand
 		{
-			FourTopics, ///< A few topics that return.
+			FourTopics, ///< A few recurring topics.
 			NineTopics,
-			NewTopics, ///< No topic returns.
-			Drift,     ///< Nine topics, each coming up over 3 s.
+			NewTopics, ///< No topic recurs.
+			Drift,     ///< Nine topics; each change takes 3 s.
 			Count
 		};
 
@@ -60,7 +59,7 @@
 			return result;
 		}
 
-		/// Shares that fall with an expert's place in an order that the seed draws, for each set.
+		/// Loads that follow a power law over a random order of the experts of each set, by the seed.
 		ExpertLoad profileOf(const EngineModel& _model, std::uint64_t _seed)
 		{
 			constexpr double kSteepness = 0.92;
@@ -71,17 +70,17 @@
 				std::vector<double> tokens(_model.experts);
 				std::vector<std::uint32_t> order(_model.experts);
 				std::iota(order.begin(), order.end(), 0);
-				for (std::uint32_t place = 0; place < _model.experts; ++place)
+				for (std::uint32_t position = 0; position < _model.experts; ++position)
 				{
-					std::swap(order[place], order[place + randomBelow(random, _model.experts - place)]);
-					tokens[order[place]] = 1'000.0 / std::pow(double(place + 1), kSteepness);
+					std::swap(order[position], order[position + randomBelow(random, _model.experts - position)]);
+					tokens[order[position]] = 1'000.0 / std::pow(double(position + 1), kSteepness);
 				}
 				load.push_back(std::move(tokens));
 			}
 			return load;
 		}
 
-		ExpertLoad mixed(const ExpertLoad& _a, const ExpertLoad& _b, double _shareOfB)
+		ExpertLoad blend(const ExpertLoad& _a, const ExpertLoad& _b, double _shareOfB)
 		{
 			ExpertLoad result = _a;
 			for (std::size_t set = 0; set < _a.size(); ++set)
@@ -94,7 +93,7 @@
 			return result;
 		}
 
-		/// The topics of one sequence, as they come up.
+		/// Expert load over time as topics change.
 		class Topics
 		{
 		public:
@@ -104,34 +103,34 @@
 			    , seed(_seed)
 			    , random(_seed)
 			    , common(profileOf(_model, _seed * 1'000))
-			    , now(this->common)
+			    , currentLoad(this->common)
 			{
 			}
 
 			ExpertLoad at(double _ms)
 			{
-				if (this->nextMs <= _ms)
+				if (this->nextChangeMs <= _ms)
 				{
-					this->before = std::move(this->now);
-					this->now = mixed(this->common, profileOf(this->model, this->draw()), kTopicShare);
-					this->sinceMs = _ms;
-					this->nextMs = _ms + kShiftEveryMs;
+					this->previousLoad = std::move(this->currentLoad);
+					this->currentLoad = blend(this->common, profileOf(this->model, this->nextTopic()), kTopicShare);
+					this->changedAtMs = _ms;
+					this->nextChangeMs = _ms + kShiftIntervalMs;
 				}
-				const double risen = Demand::Drift == this->demand ? std::min(1.0, (_ms - this->sinceMs) / kDriftMs) : 1.0;
-				return mixed(this->before, this->now, risen);
+				const double progress = Demand::Drift == this->demand ? std::min(1.0, (_ms - this->changedAtMs) / kDriftMs) : 1.0;
+				return blend(this->previousLoad, this->currentLoad, progress);
 			}
 
-			double sinceMs = 0.0;
+			double changedAtMs = 0.0;
 
 		private:
 			static constexpr double kTopicShare = 0.7;
 			static constexpr double kDriftMs = 3'000.0;
 
-			std::uint64_t draw()
+			std::uint64_t nextTopic()
 			{
 				const std::uint64_t topics = Demand::FourTopics == this->demand ? 4 : 9;
-				const std::uint64_t last = this->topic;
-				while (last == this->topic)
+				const std::uint64_t previous = this->topic;
+				while (previous == this->topic)
 				{
 					this->topic = this->seed * 100 + (Demand::NewTopics == this->demand ? 1'000'000 + ++this->drawn : randomBelow(this->random, topics));
 				}
@@ -143,44 +142,44 @@
 			std::uint64_t seed;
 			Random random;
 			ExpertLoad common;
-			ExpertLoad before;
-			ExpertLoad now;
+			ExpertLoad previousLoad;
+			ExpertLoad currentLoad;
 			std::uint64_t topic = 0;
 			std::uint64_t drawn = 0;
-			double nextMs = 0.0;
+			double nextChangeMs = 0.0;
 		};
 
 		struct Outcome
 		{
 			double meanSkew = 0.0;
-			double tooMuch = 0.0; ///< Share of the time.
+			double excessiveShare = 0.0; ///< Share of the time with more than kExcessiveSkew.
 			double switches = 0.0;
 		};
 
-		Outcome play(Demand _demand, std::uint32_t _copies, std::uint64_t _seed)
+		Outcome simulate(Demand _demand, std::uint32_t _copies, std::uint64_t _seed)
 		{
 			const EngineModel engine = model();
 			Topics topics(_demand, engine, _seed);
 			ExpertHosts hosts = roundRobinMap(engine.sets, engine.experts, kRanks);
 			ExpertHosts next;
-			double inForceAt = 0.0;
+			double activeAtMs = 0.0;
 			Outcome outcome;
-			int looks = 0;
-			for (double ms = 0.0; ms < kLengthMs; ms += kTickMs)
+			int samples = 0;
+			for (double ms = 0.0; ms < kDurationMs; ms += kTickMs)
 			{
 				const ExpertLoad load = topics.at(ms);
-				if (!next.empty() && inForceAt <= ms)
+				if (!next.empty() && activeAtMs <= ms)
 				{
 					hosts = std::exchange(next, {});
 				}
 				const double skew = skewOf(hosts, load, kRanks);
-				if (kWarmMs <= ms)
+				if (kWarmUpMs <= ms)
 				{
-					looks += 1;
+					samples += 1;
 					outcome.meanSkew += skew;
-					outcome.tooMuch += kTooMuch < skew ? 1.0 : 0.0;
+					outcome.excessiveShare += kExcessiveSkew < skew ? 1.0 : 0.0;
 				}
-				if (!next.empty() || ms - topics.sinceMs < kNoticedMs)
+				if (!next.empty() || ms - topics.changedAtMs < kDetectionDelayMs)
 				{
 					continue;
 				}
@@ -189,35 +188,35 @@
 				if (decision.worthwhile)
 				{
 					next = std::move(decision.hosts);
-					inForceAt = ms + kSwitchMs + kSwitchMsPerCopy * double(_copies);
-					outcome.switches += kWarmMs <= ms ? 1.0 : 0.0;
+					activeAtMs = ms + kSwitchBaseMs + kSwitchMsPerCopy * double(_copies);
+					outcome.switches += kWarmUpMs <= ms ? 1.0 : 0.0;
 				}
 			}
-			outcome.meanSkew /= double(looks);
-			outcome.tooMuch /= double(looks);
+			outcome.meanSkew /= double(samples);
+			outcome.excessiveShare /= double(samples);
 			return outcome;
 		}
 
 		std::vector<std::string> row(Demand _demand, std::uint32_t _copies)
 		{
 			std::vector<double> skew;
-			std::vector<double> tooMuch;
+			std::vector<double> excessiveShare;
 			std::vector<double> switches;
 			for (int seed = 1; seed <= kSeeds; ++seed)
 			{
-				const Outcome outcome = play(_demand, _copies, std::uint64_t(seed));
+				const Outcome outcome = simulate(_demand, _copies, std::uint64_t(seed));
 				skew.push_back(outcome.meanSkew);
-				tooMuch.push_back(outcome.tooMuch);
+				excessiveShare.push_back(outcome.excessiveShare);
 				switches.push_back(outcome.switches);
 			}
-			return {fmt::format("{}, {} a rank", toString(_demand), _copies), show(spreadOf(skew), 2), show(spreadOf(tooMuch), 2), show(spreadOf(switches), 0)};
+			return {fmt::format("{}, {} per rank", toString(_demand), _copies), formatSpread(spreadOf(skew), 2), formatSpread(spreadOf(excessiveShare), 2), formatSpread(spreadOf(switches), 0)};
 		}
 	} // namespace
 
 	std::vector<Table> benchShifts()
 	{
 		Table table;
-		table.title = "skew while other topics come up every 3.5 s, by copies of a switch; 24 ranks, 76 ms a copy, 48 s";
+		table.title = "skew while topics change every 3.5 s, by copies per rank and switch; 24 ranks, 76 ms per copy, 48 s";
 		table.columns = {"demand", "mean skew", "share of time over 1", "switches"};
 		for (std::size_t demand = 0; demand < std::size_t(Demand::Count); ++demand)
 		{
