--- a/tools/engine_words.h
+++ b/tools/engine_words.h
@@ -16,7 +16,7 @@
 	}
 
 	/// @returns The complete response to a prompt, given as the JSON text of its messages.
-	inline std::string answerText(const std::string& _prompt, std::uint32_t _tokens)
+	inline std::string responseText(const std::string& _prompt, std::uint32_t _tokens)
 	{
 		std::string text;
 		for (std::uint32_t index = 0; index < _tokens; ++index)
--- a/tools/load.cpp
+++ b/tools/load.cpp
@@ -57,7 +57,7 @@
 
 		std::string expectedText(const LoadOptions& _options, const std::string& _token)
 		{
-			return stub::answerText(messagesOf(_token).dump(), _options.tokens);
+			return stub::responseText(messagesOf(_token).dump(), _options.tokens);
 		}
 
 		/// Text of a streamed response.
