--- a/src/base/pause_guard.cpp
+++ b/src/base/pause_guard.cpp
@@ -51,14 +51,14 @@
 		}
 	}
 
-	std::uint64_t PauseGuard::pauses()
+	std::uint64_t PauseGuard::detectedPauses()
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->recordPulse();
 		return this->pauseCount;
 	}
 
-	void PauseGuard::looked(std::uint64_t _pauses)
+	void PauseGuard::recordRefresh(std::uint64_t _pauses)
 	{
 		absl::MutexLock lock(&this->mutex);
 		this->refreshedCount = _pauses;
--- a/src/base/pause_guard.h
+++ b/src/base/pause_guard.h
@@ -19,10 +19,10 @@
 		PauseGuard& operator=(const PauseGuard&) = delete;
 
 		/// @returns Number of pauses detected so far. Must be read before a refresh.
-		std::uint64_t pauses();
+		std::uint64_t detectedPauses();
 
 		/// Records a refresh that began when _pauses pauses had been detected.
-		void looked(std::uint64_t _pauses);
+		void recordRefresh(std::uint64_t _pauses);
 
 		/// @returns Whether the state has been refreshed since the last pause.
 		bool isFresh();
--- a/src/entry/watcher.cpp
+++ b/src/entry/watcher.cpp
@@ -259,7 +259,7 @@
 
 	void Watcher::poll()
 	{
-		const std::uint64_t pauses = this->guard.pauses();
+		const std::uint64_t detectedPauses = this->guard.detectedPauses();
 		this->pollCount += 1;
 		const bool due = this->isZonePoller(this->directory.liveEntries()) || kNonPollerIntervalMs <= nowMs() - this->lastPlatformPollAt || !this->guard.isFresh();
 		this->pollPeers();
@@ -284,7 +284,7 @@
 		}
 		if (nullptr != active)
 		{
-			this->guard.looked(pauses);
+			this->guard.recordRefresh(detectedPauses);
 		}
 	}
 
