--- a/include/archdyke/limits.h
+++ b/include/archdyke/limits.h
@@ -1,4 +1,4 @@
-/// Limits of organisations: a token bucket each, its rate divided among the entries.
+/// Rate limits of organisations: one token bucket each, its rate divided among the entries.
 #pragma once
 
 #include <cstdint>
@@ -8,30 +8,30 @@
 
 namespace archdyke
 {
-	/// What one entry lets an organisation do.
+	/// Rate limit of an organisation.
 	struct RateLimit
 	{
-		double perSecond = 0.0; ///< Requests a second.
-		double burst = 0.0;     ///< Requests at once.
+		double perSecond = 0.0; ///< Requests per second.
+		double burst = 0.0;     ///< Capacity of the bucket, requests.
 
 		bool operator==(const RateLimit&) const = default;
 	};
 
-	/// State of a bucket. A new one is full.
-	struct Bucket
+	/// State of a token bucket. A new bucket is full.
+	struct TokenBucket
 	{
 		double tokens = 0.0;
 		Millis updatedAt = 0;
 		bool used = false;
 
-		bool operator==(const Bucket&) const = default;
+		bool operator==(const TokenBucket&) const = default;
 	};
 
-	/// @returns The part of a limit that one of _entries entries may give out. The sum
-	/// over all entries is the limit; a burst is at least one request an entry.
-	RateLimit shareOf(const RateLimit& _limit, std::uint32_t _entries);
+	/// @returns The share of a limit that each of _entries entries enforces. The shares add up to
+	/// the limit, except that each entry allows a burst of at least one request.
+	RateLimit rateLimitPerEntry(const RateLimit& _limit, std::uint32_t _entries);
 
 	/// Takes a token.
-	/// @returns Nothing when there was one; else the time until there is one, ms.
-	std::optional<Millis> takeToken(Bucket& _bucket, const RateLimit& _limit, Millis _now);
+	/// @returns None if a token was taken, else the time until the next token, ms.
+	std::optional<Millis> takeToken(TokenBucket& _bucket, const RateLimit& _limit, Millis _now);
 } // namespace archdyke
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Shows that the proofs can fail: takes one mechanism out of a scratch copy at a time and
-# runs the tests that should notice. Prints, for each, whether they did.
-#   scripts/mutants.sh [NAME]    one mutant only
+# Mutation test: disables one mechanism at a time in a scratch copy and runs the tests that should
+# fail. Prints for each mutant whether they did.
+#   scripts/mutants.sh [NAME]    runs only this mutant
+# ARCHDYKE_MUTANTS: directory of the scratch copy, which is then kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source=$PWD
@@ -36,9 +37,9 @@
 	'const std::uint64_t skip = _state.nextOffset - _frame.offset;' 'const std::uint64_t skip = 0;'
 mutant broken-stream-ends-cleanly "path_a_killed_agent_breaks_the_stream_visibly" src/entry/entry_http.cpp \
 	'_sink.write(event.data(), event.size());
-			this->account(*_exchange, error.answer.outcome);
+			this->recordOutcome(*_exchange, error.response.outcome);
 			return false;' '_sink.done();
-			this->account(*_exchange, error.answer.outcome);
+			this->recordOutcome(*_exchange, error.response.outcome);
 			return true;'
 mutant no-session-floor "ledger_.*|outcome_a_late_copy_on_an_old_connection_never_runs" src/decide/ledger.cpp \
 	'return _ledger.floors.end() != it && _session.number < it->second.number;' 'return false && _ledger.floors.end() != it;' \
@@ -46,18 +47,18 @@
 			_ledger.ended.push_back({_key, _now});
 			return RevokeState::NotRun;' 'return RevokeState::NotRun;'
 mutant lost-link-means-not-run "outcome_a_lost_verdict_is_never_told_as_not_run" src/entry/request_reconnect.cpp \
-	'const std::optional<RevokeState> state = this->settle(_until);' 'const std::optional<RevokeState> state = RevokeState::NotRun;'
+	'const std::optional<RevokeState> state = this->revokeUntilAnswered(_until);' 'const std::optional<RevokeState> state = RevokeState::NotRun;'
 mutant no-claims "once_the_same_key_through_two_entries_runs_once|once_an_entry_killed_after_its_claim_leaves_the_key_in_doubt" src/entry/entry_http.cpp \
 	'if (_exchange.request.repeatable || _exchange.caller.idempotencyKey.empty())' 'if (true)'
 mutant retry-whatever-is-proved "retry_.*|outcome_seeded_faults_at_random_moments|outcome_frozen_and_killed_agents_are_never_told_as_not_run" src/decide/retry.cpp \
-	'const bool mayRepeat = Proof::NotRun == _try.proof || _try.repeatable;' 'const bool mayRepeat = true;'
-mutant commit-on-own-vote "mapswitch_.*|map_agents_killed_in_a_switch_find_their_vote_again|map_frozen_and_cut_agents_hold_the_group_together" src/decide/mapswitch.cpp \
+	'const bool mayRepeat = ExecutionProof::NotRun == _try.proof || _try.repeatable;' 'const bool mayRepeat = true;'
+mutant commit-on-own-vote "mapswitch_.*|map_agents_killed_in_a_switch_recover_their_vote|map_frozen_and_cut_agents_keep_the_group_on_one_map" src/decide/mapswitch.cpp \
 	'const bool all = !_switch.votes.empty() && std::all_of(_switch.votes.begin(), _switch.votes.end(), is(MapVote::Yes));' 'const bool all = !_switch.votes.empty() && MapVote::Yes == _switch.votes[_switch.rank];'
 mutant head-moves-first "config_a_zone_cut_from_the_platform_learns_from_its_peers|config_a_zone_cut_from_all_serves_and_is_waited_for" src/operator/apply.cpp \
 	'const std::vector<std::string> missing = waitForZones(client, _options, stage);' 'const std::vector<std::string> missing;
 		(void)waitForZones;'
 mutant no-pause-guard "config_a_paused_entry_serves_nothing_old" src/base/pause_guard.cpp \
-	'return this->lookedAt == this->count;' 'return 0 != this->lookedAt;'
+	'return this->refreshedCount == this->pauseCount;' 'return 0 != this->refreshedCount;'
 mutant older-version-taken "acceptance_.*" src/decide/acceptance.cpp \
 	'return _head.version > _held.head.version;' 'return _head.version != _held.head.version;'
 mutant leaving-agent-takes-work "leaving_a_draining_agent_refuses_whatever_the_entries_know" src/decide/ledger.cpp \
@@ -65,16 +66,16 @@
 mutant list-takes-leaving-back "membership_.*|leaving_a_list_that_says_live_again_changes_nothing" src/decide/membership.cpp \
 	'&& _member.incarnation != _member.leavingIncarnation' ''
 mutant stop-at-once "stopping_agents_stop_without_cutting_anything" src/agent/agent_main.cpp \
-	'while (nowMs() < until && (nowMs() < farewell || 0 < this->unfinished()))' 'while (false && nowMs() < until && nowMs() < farewell)' \
+	'while (nowMs() < deadline && (nowMs() < noticeEnd || 0 < this->unfinishedRuns()))' 'while (false && nowMs() < deadline && nowMs() < noticeEnd)' \
 	'				this->runs->stop();
 ' '				std::_Exit(0);
 				this->runs->stop();
 '
 mutant gateway-trusts-old-keys "gateway_keys_hold_only_while_the_newest_configuration_is_proved|gateway_an_unreadable_configuration_leaves_keys_unproved" src/gateway/request.cpp \
-	'if (!proofIsYounger(_context.state, _context.state.settings.bounds.revocationMs - kProofMarginMs))' 'if (false)'
-mutant gateway-calls-silence-not-run "gateway_what_may_have_run_is_never_told_as_not_run_nor_run_twice" src/gateway/relay.cpp \
-	'failed(Proof::Unknown, "no_answer_head")' 'failed(Proof::NotRun, "no_answer_head")'
-mutant gateway-takes-any-answer "gateway_an_answer_to_another_request_is_passed_over" src/gateway/relay.cpp \
+	'if (!isProofYoungerThan(_context.state, _context.state.settings.bounds.revocationMs - kProofMarginMs))' 'if (false)'
+mutant gateway-calls-silence-not-run "gateway_what_may_have_run_is_never_reported_as_not_run_nor_run_twice" src/gateway/relay.cpp \
+	'failed(ExecutionProof::Unknown, "no_answer_head")' 'failed(ExecutionProof::NotRun, "no_answer_head")'
+mutant gateway-takes-any-answer "gateway_a_response_to_another_request_is_skipped" src/gateway/relay.cpp \
 	'if (info.requestId == _context.caller.id)' 'if (true)'
 mutant gateway-takes-older-configurations "gateway_an_older_configuration_is_never_taken" src/gateway/watch_rows.cpp \
 	'if (catalog.version <= held)' 'if (false)'
@@ -85,38 +86,38 @@
 mutant group-uses-a-boundary-again "forward_.*" src/decide/forward_switch.cpp \
 	'return std::max(newestStep(_ranks) + _marginSteps, _intent.boundary + 1);' 'return newestStep(_ranks) + _marginSteps;'
 mutant gateway-takes-proofs-of-another-row "evacuation_.*" src/decide/evacuation.cpp \
-	'return _table.knownUpTo < _changedAt;' 'return false;'
-mutant gateway-trusts-old-news "group_gateways_ask_the_store_themselves_while_nobody_tells" src/gateway/watch_news.cpp \
-	'constexpr Millis kToldMaxAgeMs = 700;' 'constexpr Millis kToldMaxAgeMs = 700'"'"'000;' \
-	'constexpr double kNewsShareOfChange = 0.6;' 'constexpr double kNewsShareOfChange = 600.0;'
+	'return _table.knownVersion < _changedAt;' 'return false;'
+mutant gateway-trusts-old-news "group_gateways_read_the_store_themselves_without_a_coordinator" src/gateway/watch_news.cpp \
+	'constexpr Millis kMaxUpdateAgeMs = 700;' 'constexpr Millis kMaxUpdateAgeMs = 700'"'"'000;' \
+	'constexpr double kMaxNewsAgeShareOfChange = 0.6;' 'constexpr double kMaxNewsAgeShareOfChange = 600.0;'
 mutant sidecar-takes-over-from-a-living-coordinator "group_ranks_that_start_together_agree_on_one_coordinator" src/group/sidecar.cpp \
-	'if (!this->coordinatorIsGone())
+	'if (!this->coordinatorTimedOut())
 					{
-						continue; // it was heard while the engine was asked' 'if (false)
+						continue; // a coordinator was heard while the engine was asked' 'if (false)
 					{
-						continue; // it was heard while the engine was asked' \
-	'if (!this->coordinatorIsGone())
+						continue; // a coordinator was heard while the engine was asked' \
+	'if (!this->coordinatorTimedOut())
 					{
-						co_return; // it was heard while the row was read' 'if (false)
+						co_return; // a coordinator was heard while the row was read' 'if (false)
 					{
-						co_return; // it was heard while the row was read'
+						co_return; // a coordinator was heard while the row was read'
 mutant planner-ignores-paces "mappolicy_a_slow_rank_is_given_less" src/decide/map_policy.cpp \
 	'input.paces = _paces;' ''
 mutant gateway-sends-to-evacuated-zones "gatewayevacuation_an_evacuated_zone_gets_nothing_until_it_is_taken_back" src/gateway/board.cpp \
 	'isServing(_upstream) && !_upstream.evacuated' 'isServing(_upstream)'
 mutant gateway-floods-cold-upstreams "gateway_a_cold_upstream_gets_its_share_of_a_flood_and_the_rest_is_refused_at_once" src/gateway/board_limits.cpp \
-	'(!isLimitedCold(_upstream, _now) || maySendCold(_upstream.cold, *_upstream.coldSends, _now))' 'true'
+	'(!isColdLimited(_upstream, _now) || maySendCold(_upstream.cold, *_upstream.coldSends, _now))' 'true'
 mutant gateway-ignores-back-off "gateway_an_upstream_that_asks_to_be_sent_nothing_gets_nothing_for_so_long" src/gateway/board_limits.cpp \
-	'takesWork(_upstream) && !isBackedOff(_upstream, _now);' 'takesWork(_upstream);'
+	'acceptsRequests(_upstream) && !isBackedOff(_upstream, _now);' 'acceptsRequests(_upstream);'
 mutant gateway-ignores-own-leave "gateway_an_upstream_that_says_in_an_answer_that_it_leaves_gets_nothing_new" src/gateway/relay.cpp \
 	'if (_info.leaving && !_info.wrongIncarnation)' 'if (false)'
 mutant gateway-tells-nobody-of-crashes "gateway_all_of_many_gateways_refuse_a_request_soon_after_its_third_crash" src/gateway/crash_teller.cpp \
-	'if (!isDue(record, now) ||' 'if (true ||'
+	'if (!isWriteDue(record, now) ||' 'if (true ||'
 mutant gateway-clears-nobody-of-crashes "gateway_bystanders_of_crashes_are_served_and_cleared" src/gateway/crashes.cpp \
-	'noteRun(record.runs, hashOf(_context), nowMs());' 'return;'
-mutant deadline-by-one-timer "suspend_a_request_whose_deadline_passes_in_a_sleep_ends_when_the_machine_wakes" src/gateway/request.cpp \
-	'std::clamp<Millis>(_moment - nowMs(), 1, kLookMs)' 'std::max<Millis>(_moment - nowMs(), 1)'
-mutant clock-that-sleeps "suspend_keys_hold_no_longer_after_a_sleep" src/base/process.cpp \
+	'recordCompletion(record.runs, hashOf(_context), nowMs());' 'return;'
+mutant deadline-by-one-timer "suspend_a_request_whose_deadline_passes_in_a_suspension_ends_when_the_machine_resumes" src/gateway/request.cpp \
+	'std::clamp<Millis>(_moment - nowMs(), 1, kPollIntervalMs)' 'std::max<Millis>(_moment - nowMs(), 1)'
+mutant clock-that-sleeps "suspend_keys_expire_on_time_after_a_suspension" src/base/process.cpp \
 	'CLOCK_BOOTTIME' 'CLOCK_MONOTONIC'
 mutant soak-sends-to-leaving-upstreams "soak_.*" src/gateway/board.cpp \
 	'return !_upstream.leavingSince && !_upstream.superseded;' 'return !_upstream.superseded;'
--- a/src/decide/ledger.cpp
+++ b/src/decide/ledger.cpp
@@ -95,7 +95,7 @@
 		{
 			return RefusalReason::Leaving;
 		}
-		if (kLedgerRuns <= _ledger.active + _ledger.ended.size())
+		if (kMaxLedgerRuns <= _ledger.active + _ledger.ended.size())
 		{
 			return RefusalReason::Overloaded;
 		}
@@ -150,8 +150,8 @@
 		{
 			return RevokeState::Unknown;
 		}
-		// A copy of the dispatch may still be under way on an older connection, so the
-		// floor rises before anything is proved. A revoke that is itself old proves nothing.
+		// A copy of the dispatch may still be in flight on an older connection, so the session floor is
+		// raised before anything is proved. A revoke on an old session proves nothing.
 		if (!openSession(_ledger, _session, _now))
 		{
 			return RevokeState::Unknown;
@@ -170,15 +170,15 @@
 		return RunState::Revoked == record->state ? RevokeState::NotRun : RevokeState::Started;
 	}
 
-	void forgetRuns(Ledger& _ledger, Millis _now)
+	void removeExpiredRuns(Ledger& _ledger, Millis _now)
 	{
-		while (!_ledger.ended.empty() && kLedgerKeepMs < _now - _ledger.ended.front().endedAt)
+		while (!_ledger.ended.empty() && kLedgerRetentionMs < _now - _ledger.ended.front().endedAt)
 		{
 			eraseRun(_ledger, _ledger.ended.front().key);
 			_ledger.ended.pop_front();
 		}
 		absl::erase_if(_ledger.floors, [&](const auto& _floor) {
-			return kSessionFloorKeepMs < _now - _floor.second.seenAt;
+			return kSessionFloorRetentionMs < _now - _floor.second.seenAt;
 		});
 	}
 } // namespace archdyke
--- a/src/decide/retry.cpp
+++ b/src/decide/retry.cpp
@@ -8,13 +8,13 @@
 {
 	void earnRetry(RetryBudget& _budget)
 	{
-		_budget.tokens = std::min(kRetryBurst, _budget.tokens + kRetryShare);
+		_budget.tokens = std::min(kMaxRetryBurst, _budget.tokens + kRetriesPerSuccess);
 	}
 
 	bool spendRetry(RetryBudget& _budget, Millis _now)
 	{
-		const double earned = double(std::max<Millis>(0, _now - _budget.updatedAt)) * kRetryFloorPerSecond / 1000.0;
-		_budget.tokens = std::min(kRetryBurst, _budget.tokens + earned);
+		const double earned = double(std::max<Millis>(0, _now - _budget.updatedAt)) * kMinRetriesPerSecond / 1000.0;
+		_budget.tokens = std::min(kMaxRetryBurst, _budget.tokens + earned);
 		_budget.updatedAt = std::max(_budget.updatedAt, _now);
 		if (_budget.tokens < 1.0)
 		{
@@ -24,33 +24,33 @@
 		return true;
 	}
 
-	NextStep finalAnswer(const FailedTry& _try)
+	NextStep finalAnswer(const FailedAttempt& _try)
 	{
 		switch (_try.proof)
 		{
-		case Proof::NotRun:
+		case ExecutionProof::NotRun:
 			return NextStep::AnswerNotRun;
-		case Proof::Ran:
+		case ExecutionProof::Ran:
 			return NextStep::AnswerBroken;
 		default:
 			return NextStep::AnswerUnknown;
 		}
 	}
 
-	NextStep decideNext(const FailedTry& _try)
+	NextStep decideNext(const FailedAttempt& _try)
 	{
-		const bool mayRepeat = Proof::NotRun == _try.proof || _try.repeatable;
+		const bool mayRepeat = ExecutionProof::NotRun == _try.proof || _try.repeatable;
 		if (!mayRepeat || _try.delivered || _try.timeLeftMs <= 0 || kMaxAttempts <= _try.attempt + 1)
 		{
 			return finalAnswer(_try);
 		}
-		// A deadline that this agent can't meet isn't met by asking all the others: each
-		// would do the sum again, and the caller waits meanwhile.
+		// Trying all other agents would not meet the deadline: each computes the same estimate again
+		// while the caller waits.
 		if (RefusalReason::Deadline == _try.refusal && 0 < _try.attempt)
 		{
 			return finalAnswer(_try);
 		}
-		const bool agentWent = RefusalReason::Leaving == _try.refusal || RefusalReason::WrongIncarnation == _try.refusal;
-		return agentWent ? NextStep::Retry : NextStep::RetryOnBudget;
+		const bool agentLeft = RefusalReason::Leaving == _try.refusal || RefusalReason::WrongIncarnation == _try.refusal;
+		return agentLeft ? NextStep::Retry : NextStep::RetryOnBudget;
 	}
 } // namespace archdyke
--- a/src/decide/route.cpp
+++ b/src/decide/route.cpp
@@ -8,9 +8,9 @@
 {
 	namespace
 	{
-		/// Load that the holder of a prefix may have above the best other choice, runs per
-		/// slot.
-		constexpr double kAffinityExtraLoad = 0.25;
+		/// How much more loaded than the best other candidate the agent with the cached prefix may
+		/// be, runs per slot.
+		constexpr double kMaxAffinityExtraLoad = 0.25;
 
 		enum class ZoneFilter
 		{
@@ -18,13 +18,13 @@
 			Other
 		};
 
-		bool passes(const Candidate& _candidate, ZoneFilter _filter)
+		bool passes(const AgentCandidate& _candidate, ZoneFilter _filter)
 		{
 			return _candidate.usable && (ZoneFilter::Own == _filter) == _candidate.ownZone;
 		}
 
-		/// Walks from a random place to the next usable candidate: no list is built.
-		std::optional<std::size_t> pickRandom(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
+		/// Scans from a random index to the next usable candidate, without building a list.
+		std::optional<std::size_t> pickRandom(const std::vector<AgentCandidate>& _candidates, ZoneFilter _filter, Random& _random)
 		{
 			const std::size_t start = randomBelow(_random, _candidates.size());
 			for (std::size_t step = 0; step < _candidates.size(); ++step)
@@ -38,8 +38,8 @@
 			return std::nullopt;
 		}
 
-		/// The second choice is another candidate than the first, if there is one.
-		std::optional<std::size_t> pickOfTwo(const std::vector<Candidate>& _candidates, ZoneFilter _filter, Random& _random)
+		/// @returns The less loaded of two random candidates, which differ if there is more than one.
+		std::optional<std::size_t> pickBetterOfTwo(const std::vector<AgentCandidate>& _candidates, ZoneFilter _filter, Random& _random)
 		{
 			const std::optional<std::size_t> first = pickRandom(_candidates, _filter, _random);
 			if (!first)
@@ -56,13 +56,13 @@
 			return loadOf(_candidates[second]) < loadOf(_candidates[*first]) ? second : *first;
 		}
 
-		double costMs(const Candidate& _candidate)
+		double costMs(const AgentCandidate& _candidate)
 		{
-			return 2.0 * _candidate.distanceMs + waitMsOf(_candidate);
+			return 2.0 * _candidate.distanceMs + expectedWaitMs(_candidate);
 		}
 
 		/// Rendezvous hashing: D. G. Thaler, C. V. Ravishankar, IEEE/ACM ToN 6(1), 1998.
-		std::optional<std::size_t> prefixHolder(const std::vector<Candidate>& _candidates, std::uint64_t _prefix)
+		std::optional<std::size_t> findPrefixHolder(const std::vector<AgentCandidate>& _candidates, std::uint64_t _prefix)
 		{
 			std::optional<std::size_t> holder;
 			std::uint64_t highest = 0;
@@ -91,41 +91,41 @@
 		}
 	} // namespace
 
-	double loadOf(const Candidate& _candidate)
+	double loadOf(const AgentCandidate& _candidate)
 	{
-		const double runs = double(_candidate.reported) + double(_candidate.sentSince) + 1.0;
+		const double runs = double(_candidate.reported) + double(_candidate.sentSinceReport) + 1.0;
 		return runs / double(std::max(1u, _candidate.slots));
 	}
 
-	double waitMsOf(const Candidate& _candidate)
+	double expectedWaitMs(const AgentCandidate& _candidate)
 	{
 		return std::max(0.0, loadOf(_candidate) - 1.0) * _candidate.meanRunMs;
 	}
 
-	std::optional<std::size_t> chooseAgent(const std::vector<Candidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random)
+	std::optional<std::size_t> chooseAgent(const std::vector<AgentCandidate>& _candidates, std::optional<std::uint64_t> _prefix, Random& _random)
 	{
-		std::optional<std::size_t> best = pickOfTwo(_candidates, ZoneFilter::Own, _random);
+		std::optional<std::size_t> best = pickBetterOfTwo(_candidates, ZoneFilter::Own, _random);
 		if (best && _prefix)
 		{
-			const std::size_t holder = *prefixHolder(_candidates, *_prefix);
-			if (loadOf(_candidates[holder]) <= loadOf(_candidates[*best]) + kAffinityExtraLoad)
+			const std::size_t holder = *findPrefixHolder(_candidates, *_prefix);
+			if (loadOf(_candidates[holder]) <= loadOf(_candidates[*best]) + kMaxAffinityExtraLoad)
 			{
 				best = holder;
 			}
 		}
-		if (best && 0.0 == waitMsOf(_candidates[*best]))
+		if (best && 0.0 == expectedWaitMs(_candidates[*best]))
 		{
 			return best;
 		}
-		const std::optional<std::size_t> far = pickOfTwo(_candidates, ZoneFilter::Other, _random);
-		if (!best || (far && costMs(_candidates[*far]) < costMs(_candidates[*best])))
+		const std::optional<std::size_t> remote = pickBetterOfTwo(_candidates, ZoneFilter::Other, _random);
+		if (!best || (remote && costMs(_candidates[*remote]) < costMs(_candidates[*best])))
 		{
-			return far;
+			return remote;
 		}
 		return best;
 	}
 
-	std::optional<std::size_t> chooseAtRandom(const std::vector<Candidate>& _candidates, Random& _random)
+	std::optional<std::size_t> chooseAtRandom(const std::vector<AgentCandidate>& _candidates, Random& _random)
 	{
 		const std::size_t start = randomBelow(_random, _candidates.size());
 		for (std::size_t step = 0; step < _candidates.size(); ++step)
@@ -139,7 +139,7 @@
 		return std::nullopt;
 	}
 
-	std::optional<std::size_t> chooseRoundRobin(const std::vector<Candidate>& _candidates, std::uint64_t& _next)
+	std::optional<std::size_t> chooseRoundRobin(const std::vector<AgentCandidate>& _candidates, std::uint64_t& _next)
 	{
 		for (std::size_t step = 0; step < _candidates.size(); ++step)
 		{
@@ -152,12 +152,12 @@
 		return std::nullopt;
 	}
 
-	std::optional<std::size_t> chooseLeastReported(const std::vector<Candidate>& _candidates)
+	std::optional<std::size_t> chooseLeastReported(const std::vector<AgentCandidate>& _candidates)
 	{
 		std::optional<std::size_t> best;
 		for (std::size_t index = 0; index < _candidates.size(); ++index)
 		{
-			const Candidate& candidate = _candidates[index];
+			const AgentCandidate& candidate = _candidates[index];
 			if (candidate.usable && (!best || candidate.reported < _candidates[*best].reported))
 			{
 				best = index;
@@ -181,13 +181,13 @@
 			return order;
 		}
 		std::vector<std::size_t> subset;
-		for (std::size_t slot = 0; slot < order.size(); ++slot)
+		for (std::size_t agent = 0; agent < order.size(); ++agent)
 		{
-			// Agent slot k is covered by the entries that follow place k * count / agents.
-			const std::size_t first = slot * count / order.size();
+			// Agent number k is covered by the entries from position k * count / agents on.
+			const std::size_t first = agent * count / order.size();
 			if ((position + count - first) % count < _coverage)
 			{
-				subset.push_back(order[slot]);
+				subset.push_back(order[agent]);
 			}
 		}
 		return subset;
--- a/src/decide/switch_history.cpp
+++ b/src/decide/switch_history.cpp
@@ -1,4 +1,4 @@
-/// Begins a switch, and remembers what one coordinator did in it that the row doesn't tell.
+/// Begins a switch and tracks what one coordinator did in it that the row doesn't contain.
 #include <algorithm>
 
 #include "archdyke/forward_switch.h"
@@ -7,44 +7,44 @@
 {
 	namespace
 	{
-		BoundaryMark markOf(const SwitchIntent& _intent)
+		BoundaryId boundaryIdOf(const SwitchIntent& _intent)
 		{
 			return {_intent.version, _intent.boundary};
 		}
 	} // namespace
 
-	SwitchHistory historyOf(const SwitchIntent& _row)
+	SwitchHistory initialHistory(const SwitchIntent& _row)
 	{
 		SwitchHistory history;
-		history.foreign = SwitchPhase::Switching == _row.phase ? markOf(_row) : BoundaryMark();
+		history.inherited = SwitchPhase::Switching == _row.phase ? boundaryIdOf(_row) : BoundaryId();
 		return history;
 	}
 
-	SwitchHistory withStep(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchStep& _step)
+	SwitchHistory historyAfter(const SwitchHistory& _history, const SwitchIntent& _intent, const SwitchDecision& _step)
 	{
 		SwitchHistory history = _history;
-		const bool arms = std::any_of(_step.orders.begin(), _step.orders.end(), [](const RankOrderPlan& _order) {
+		const bool sendsArm = std::any_of(_step.orders.begin(), _step.orders.end(), [](const RankOrderPlan& _order) {
 			return RankOrderKind::Arm == _order.kind;
 		});
-		history.armed = arms ? markOf(_intent) : history.armed;
+		history.armed = sendsArm ? boundaryIdOf(_intent) : history.armed;
 		for (const RankOrderPlan& order : _step.orders)
 		{
-			const bool anew = RankOrderKind::Prepare == order.kind && order.version != _intent.version;
-			history.version = anew ? std::max(history.version, order.version) : history.version;
+			const bool preparesAgain = RankOrderKind::Prepare == order.kind && order.version != _intent.version;
+			history.version = preparesAgain ? std::max(history.version, order.version) : history.version;
 		}
-		const bool givesUp = _step.next && _step.store && SwitchPhase::Idle == _step.next->phase;
-		history.givenUp = givesUp ? markOf(_intent) : history.givenUp;
+		const bool abandons = _step.next && _step.store && SwitchPhase::Idle == _step.next->phase;
+		history.abandonSent = abandons ? boundaryIdOf(_intent) : history.abandonSent;
 		return history;
 	}
 
-	SwitchPatience withHistory(const SwitchPatience& _patience, const SwitchIntent& _intent, const SwitchHistory& _history)
+	SwitchConditions applyHistory(const SwitchConditions& _conditions, const SwitchIntent& _intent, const SwitchHistory& _history)
 	{
-		SwitchPatience patience = _patience;
-		const BoundaryMark mark = markOf(_intent);
+		SwitchConditions conditions = _conditions;
+		const BoundaryId boundaryId = boundaryIdOf(_intent);
 		const bool switching = SwitchPhase::Switching == _intent.phase;
-		patience.nobodyArmed = switching && mark != _history.foreign && mark != _history.armed;
-		patience.giveUp = patience.giveUp || (switching && mark == _history.givenUp);
-		return patience;
+		conditions.noRankArmed = switching && boundaryId != _history.inherited && boundaryId != _history.armed;
+		conditions.giveUp = conditions.giveUp || (switching && boundaryId == _history.abandonSent);
+		return conditions;
 	}
 
 	std::optional<SwitchIntent> beginSwitch(const SwitchIntent& _idle, std::uint64_t _epoch, ExpertHosts _map, std::uint64_t _used)
@@ -55,8 +55,8 @@
 		intent.version = std::max(voidingVersion(_idle), _used + 1);
 		intent.boundary = _idle.epoch == _epoch ? _idle.boundary : 0;
 		intent.map = std::move(_map);
-		const bool left = intent.version < (_idle.term + 1) * kVersionsPerTerm;
-		return left ? std::optional(intent) : std::nullopt;
+		const bool versionsLeft = intent.version < (_idle.term + 1) * kVersionsPerTerm;
+		return versionsLeft ? std::optional(intent) : std::nullopt;
 	}
 
 	std::uint64_t voidingVersion(const SwitchIntent& _intent)
--- a/src/entry/request_run.cpp
+++ b/src/entry/request_run.cpp
@@ -12,8 +12,8 @@
 		constexpr int kUnavailable = 503;
 		constexpr int kBadGateway = 502;
 		constexpr int kTimeout = 504;
-		/// At a deadline, how long to ask what became of the run, ms.
-		constexpr Millis kDeadlineSettleMs = 300;
+		/// Time limit for revoking a run whose deadline has passed, ms.
+		constexpr Millis kDeadlineRevokeTimeoutMs = 300;
 
 		Random& threadRandom()
 		{
@@ -21,10 +21,10 @@
 			return random;
 		}
 
-		int severity(Proof _proof)
+		int severity(ExecutionProof _proof)
 		{
-			return Proof::NotRun == _proof ? 0 : Proof::Unknown == _proof ? 1
-			                                                              : 2;
+			return ExecutionProof::NotRun == _proof ? 0 : ExecutionProof::Unknown == _proof ? 1
+			                                                                                : 2;
 		}
 	} // namespace
 
@@ -49,7 +49,7 @@
 
 	RequestRun::~RequestRun()
 	{
-		this->closeTry();
+		this->closeAttempt();
 	}
 
 	Outcome RequestRun::outcome() const
@@ -58,22 +58,22 @@
 		{
 			return Outcome::Ran;
 		}
-		switch (this->worst.value_or(Proof::NotRun))
+		switch (this->worstProof.value_or(ExecutionProof::NotRun))
 		{
-		case Proof::NotRun:
+		case ExecutionProof::NotRun:
 			return Outcome::NotRun;
-		case Proof::Ran:
+		case ExecutionProof::Ran:
 			return Outcome::Ran;
 		default:
 			return Outcome::Unknown;
 		}
 	}
 
-	void RequestRun::noteProof(Proof _proof)
+	void RequestRun::recordProof(ExecutionProof _proof)
 	{
-		if (!this->worst || severity(*this->worst) < severity(_proof))
+		if (!this->worstProof || severity(*this->worstProof) < severity(_proof))
 		{
-			this->worst = _proof;
+			this->worstProof = _proof;
 		}
 	}
 
@@ -84,15 +84,15 @@
 		{
 			return nullptr;
 		}
-		std::vector<Candidate> candidates;
+		std::vector<AgentCandidate> candidates;
 		candidates.reserve(targets->size());
 		for (const RouteTarget& target : *targets)
 		{
-			Candidate candidate = target.link->candidate();
+			AgentCandidate candidate = target.link->candidate();
 			candidate.id = target.id;
 			candidate.ownZone = target.ownZone;
 			candidate.distanceMs = target.distanceMs;
-			const bool triedBefore = this->tried.end() != std::find(this->tried.begin(), this->tried.end(), target.link->identity().name);
+			const bool triedBefore = this->triedAgents.end() != std::find(this->triedAgents.begin(), this->triedAgents.end(), target.link->identity().name);
 			candidate.usable = candidate.usable && !triedBefore;
 			candidates.push_back(candidate);
 		}
@@ -103,13 +103,13 @@
 	void RequestRun::send(const std::shared_ptr<AgentLink>& _link)
 	{
 		this->current = {};
-		this->pending.clear();
+		this->undelivered.clear();
 		this->current.link = _link;
 		this->current.incarnation = _link->incarnation();
 		this->current.call = std::make_shared<Call>();
 		this->current.relay.key = {this->request.id, this->attempts};
 		this->current.open = true;
-		this->tried.push_back(_link->identity().name);
+		this->triedAgents.push_back(_link->identity().name);
 		RunSpec run;
 		run.key = this->current.relay.key;
 		run.organisation = this->request.organisation.name;
@@ -123,7 +123,7 @@
 		_link->dispatch(this->current.call, std::move(run));
 	}
 
-	void RequestRun::closeTry()
+	void RequestRun::closeAttempt()
 	{
 		if (this->current.open)
 		{
@@ -132,77 +132,77 @@
 		}
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleVerdict(const VerdictEvent& _event)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleVerdict(const VerdictEvent& _event)
 	{
 		if (_event.accepted)
 		{
 			this->current.started = true;
 			return std::nullopt;
 		}
-		const Proof proof = RefusalReason::Duplicate == _event.reason ? Proof::Unknown : Proof::NotRun;
-		return TryFailure{proof, _event.reason, std::max<Millis>(1, _event.retryAfterMs), std::string(toString(_event.reason)), "the upstream " + this->current.link->identity().name + " refused the request (" + std::string(toString(_event.reason)) + "); come back after the time in Retry-After"};
+		const ExecutionProof proof = RefusalReason::Duplicate == _event.reason ? ExecutionProof::Unknown : ExecutionProof::NotRun;
+		return AttemptFailure{proof, _event.reason, std::max<Millis>(1, _event.retryAfterMs), std::string(toString(_event.reason)), "the upstream " + this->current.link->identity().name + " refused the request (" + std::string(toString(_event.reason)) + "); retry after the time in Retry-After"};
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleFrame(const AnswerFrame& _frame)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleFrame(const ResponseFrame& _frame)
 	{
 		const FrameDecision decision = acceptFrame(this->current.relay, _frame.head);
 		switch (decision.action)
 		{
 		case FrameAction::Deliver:
 			this->current.started = true;
-			this->start = AnswerStart{_frame.status, _frame.contentType, this->current.link->identity().name};
-			this->pending.append(_frame.bytes, decision.skip);
+			this->start = ResponseStart{_frame.status, _frame.contentType, this->current.link->identity().name};
+			this->undelivered.append(_frame.bytes, decision.skip);
 			return std::nullopt;
 		case FrameAction::Gap:
-			return this->reconnect(nowMs() + kResumeMs);
+			return this->reconnect(nowMs() + kResumeTimeoutMs);
 		case FrameAction::Broken:
-			return TryFailure{_frame.notRun ? Proof::NotRun : Proof::Ran, RefusalReason::None, kComeBackMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; come back after the time in Retry-After" : " broke off its answer; check with it before you send the request again")};
+			return AttemptFailure{_frame.notRun ? ExecutionProof::NotRun : ExecutionProof::Ran, RefusalReason::None, kDefaultRetryDelayMs, _frame.notRun ? "upstream_unreachable" : "upstream_broke_off", "the upstream " + this->current.link->identity().name + (_frame.notRun ? " can't be reached; retry after the time in Retry-After" : " did not complete its response; check with it before you send the request again")};
 		default:
 			this->context.droppedFrames.Increment();
 			return std::nullopt;
 		}
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleDeadline()
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleDeadline()
 	{
-		Proof proof = Proof::Ran;
+		ExecutionProof proof = ExecutionProof::Ran;
 		if (!this->current.started)
 		{
-			const std::optional<RevokeState> state = this->settle(nowMs() + kDeadlineSettleMs);
-			proof = RevokeState::NotRun == state ? Proof::NotRun : RevokeState::Started == state ? Proof::Ran
-			                                                                                     : Proof::Unknown;
+			const std::optional<RevokeState> state = this->revokeUntilAnswered(nowMs() + kDeadlineRevokeTimeoutMs);
+			proof = RevokeState::NotRun == state ? ExecutionProof::NotRun : RevokeState::Started == state ? ExecutionProof::Ran
+			                                                                                              : ExecutionProof::Unknown;
 		}
-		if (Proof::NotRun != proof)
+		if (ExecutionProof::NotRun != proof)
 		{
 			this->current.link->cancel(this->current.relay.key);
 		}
-		return TryFailure{proof, RefusalReason::Deadline, kComeBackMs, "deadline", "the deadline of the service has passed"};
+		return AttemptFailure{proof, RefusalReason::Deadline, kDefaultRetryDelayMs, "deadline", "the deadline of the service has passed"};
 	}
 
-	std::optional<RequestRun::TryFailure> RequestRun::handleEvent(const CallEvent& _event)
+	std::optional<RequestRun::AttemptFailure> RequestRun::handleEvent(const CallEvent& _event)
 	{
 		if (const VerdictEvent* verdict = std::get_if<VerdictEvent>(&_event))
 		{
 			return this->handleVerdict(*verdict);
 		}
-		if (const AnswerFrame* frame = std::get_if<AnswerFrame>(&_event))
+		if (const ResponseFrame* frame = std::get_if<ResponseFrame>(&_event))
 		{
 			return this->handleFrame(*frame);
 		}
 		if (const LinkLostEvent* lost = std::get_if<LinkLostEvent>(&_event))
 		{
-			return this->handleLost(*lost);
+			return this->handleLinkLost(*lost);
 		}
-		return std::nullopt; // A late answer to an earlier question.
+		return std::nullopt; // A late response to an earlier revoke or resume.
 	}
 
-	/// Waits until there are bytes of the answer, or its end.
-	std::optional<RequestRun::TryFailure> RequestRun::waitForAnswer()
+	/// Waits for bytes of the response, or for its end.
+	std::optional<RequestRun::AttemptFailure> RequestRun::waitForResponse()
 	{
-		while (this->pending.empty() && !this->current.relay.complete)
+		while (this->undelivered.empty() && !this->current.relay.complete)
 		{
 			const std::optional<CallEvent> event = this->current.call->wait(this->request.deadline);
-			std::optional<TryFailure> failure = event ? this->handleEvent(*event) : this->handleDeadline();
+			std::optional<AttemptFailure> failure = event ? this->handleEvent(*event) : this->handleDeadline();
 			if (failure)
 			{
 				return failure;
@@ -211,24 +211,24 @@
 		return std::nullopt;
 	}
 
-	RequestRun::TryFailure RequestRun::noUpstream() const
+	RequestRun::AttemptFailure RequestRun::noUpstreamFailure() const
 	{
-		return {Proof::NotRun, RefusalReason::None, kComeBackMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" takes work now; come back after the time in Retry-After"};
+		return {ExecutionProof::NotRun, RefusalReason::None, kDefaultRetryDelayMs, "no_upstream", "no upstream of service \"" + this->request.service.name + "\" accepts requests now; retry after the time in Retry-After"};
 	}
 
-	RejectedError RequestRun::giveUp(const TryFailure& _failure) const
+	RejectedError RequestRun::makeRejection(const AttemptFailure& _failure) const
 	{
 		const Outcome outcome = this->outcome();
-		const bool late = RefusalReason::Deadline == _failure.refusal && Outcome::NotRun != outcome;
-		const int status = late ? kTimeout : Outcome::NotRun == outcome ? kUnavailable
-		                                                                : kBadGateway;
+		const bool isTimeout = RefusalReason::Deadline == _failure.refusal && Outcome::NotRun != outcome;
+		const int status = isTimeout ? kTimeout : Outcome::NotRun == outcome ? kUnavailable
+		                                                                     : kBadGateway;
 		const Millis retryAfterMs = Outcome::NotRun == outcome ? std::max<Millis>(1, _failure.retryAfterMs) : 0;
 		return RejectedError({status, outcome, retryAfterMs, _failure.reason, _failure.message});
 	}
 
-	NextStep RequestRun::stepAfter(const TryFailure& _failure)
+	NextStep RequestRun::decideNextStep(const AttemptFailure& _failure)
 	{
-		const FailedTry failed{_failure.proof, _failure.refusal, this->attempts, this->request.repeatable, this->delivered, this->request.deadline - nowMs()};
+		const FailedAttempt failed{_failure.proof, _failure.refusal, this->attempts, this->request.repeatable, this->delivered, this->request.deadline - nowMs()};
 		const NextStep step = decideNext(failed);
 		if (NextStep::RetryOnBudget == step)
 		{
@@ -237,67 +237,67 @@
 		return step;
 	}
 
-	AnswerStart RequestRun::attempt()
+	ResponseStart RequestRun::runAttempts()
 	{
 		while (true)
 		{
 			const std::shared_ptr<AgentLink> link = this->chooseLink();
 			if (nullptr == link)
 			{
-				throw this->giveUp(this->noUpstream());
+				throw this->makeRejection(this->noUpstreamFailure());
 			}
 			this->send(link);
-			const std::optional<TryFailure> failure = this->waitForAnswer();
+			const std::optional<AttemptFailure> failure = this->waitForResponse();
 			if (!failure)
 			{
 				return *this->start;
 			}
-			this->closeTry();
+			this->closeAttempt();
 			this->current.started = false;
-			this->noteProof(failure->proof);
-			if (NextStep::Retry != this->stepAfter(*failure))
+			this->recordProof(failure->proof);
+			if (NextStep::Retry != this->decideNextStep(*failure))
 			{
-				throw this->giveUp(*failure);
+				throw this->makeRejection(*failure);
 			}
 			this->context.retried.Increment();
 			this->attempts += 1;
 		}
 	}
 
-	AnswerStart RequestRun::begin()
+	ResponseStart RequestRun::begin()
 	{
-		return this->attempt();
+		return this->runAttempts();
 	}
 
 	std::optional<std::string> RequestRun::next()
 	{
-		const std::optional<TryFailure> failure = this->waitForAnswer();
+		const std::optional<AttemptFailure> failure = this->waitForResponse();
 		if (failure)
 		{
-			this->closeTry();
-			this->noteProof(failure->proof);
-			throw this->giveUp(*failure);
+			this->closeAttempt();
+			this->recordProof(failure->proof);
+			throw this->makeRejection(*failure);
 		}
-		if (this->pending.empty())
+		if (this->undelivered.empty())
 		{
-			this->closeTry();
+			this->closeAttempt();
 			this->context.retries.earn();
 			return std::nullopt;
 		}
 		this->delivered = this->request.streamed;
-		return std::exchange(this->pending, {});
+		return std::exchange(this->undelivered, {});
 	}
 
-	AnswerStart RequestRun::restart(const RejectedError& _error)
+	ResponseStart RequestRun::restart(const RejectedError& _error)
 	{
-		if (!this->request.repeatable || this->delivered || NextStep::Retry != this->stepAfter({Proof::Ran, RefusalReason::None, 0, _error.answer.reason, _error.answer.message}))
+		if (!this->request.repeatable || this->delivered || NextStep::Retry != this->decideNextStep({ExecutionProof::Ran, RefusalReason::None, 0, _error.response.reason, _error.response.message}))
 		{
 			throw _error;
 		}
 		this->context.retried.Increment();
 		this->attempts += 1;
 		this->current.started = false;
-		return this->attempt();
+		return this->runAttempts();
 	}
 
 	std::string RequestRun::contentType() const
@@ -310,7 +310,7 @@
 		if (this->current.open)
 		{
 			this->current.link->cancel(this->current.relay.key);
-			this->closeTry();
+			this->closeAttempt();
 		}
 	}
 } // namespace archdyke
--- a/src/gateway/board_cold.cpp
+++ b/src/gateway/board_cold.cpp
@@ -1,4 +1,4 @@
-// The part of the board that knows which upstreams are cold.
+// Cold upstreams and their limits.
 #include "gateway/board.h"
 
 #include <algorithm>
@@ -7,27 +7,27 @@
 
 namespace archdyke::gateway
 {
-	bool isLimitedCold(const Upstream& _upstream, Millis _now)
+	bool isColdLimited(const Upstream& _upstream, Millis _now)
 	{
-		return _upstream.coldSends && 0 < warmInMs(_upstream.cold, _now);
+		return _upstream.coldSends && 0 < remainingColdMs(_upstream.cold, _now);
 	}
 
-	void Board::beginCold(const UpstreamRef& _upstream, Millis _forMs, Millis _now)
+	void UpstreamRegistry::markCold(const UpstreamRef& _upstream, Millis _durationMs, Millis _now)
 	{
-		if (_forMs <= 0)
+		if (_durationMs <= 0)
 		{
 			return;
 		}
-		const bool before = isLimitedCold(*_upstream, _now);
-		noteCold(_upstream->cold, _forMs, _now);
+		const bool wasLimited = isColdLimited(*_upstream, _now);
+		recordCold(_upstream->cold, _durationMs, _now);
 		_upstream->group->coldUntil = std::max(_upstream->group->coldUntil, _upstream->cold.until);
-		if (!before && _upstream->coldSends)
+		if (!wasLimited && _upstream->coldSends)
 		{
-			logInfo("upstream_cold", {{"incarnation", _upstream->record.incarnation}, {"service", _upstream->record.service}, {"group", _upstream->group->name.empty() ? "-" : _upstream->group->name}, {"for_ms", _forMs}, {"told", _upstream->record.coldForMs.has_value()}, {"sends", *_upstream->coldSends}, {"gateways", this->coldLimits.at(_upstream->record.service).terms.gateways}});
+			logInfo("upstream_cold", {{"incarnation", _upstream->record.incarnation}, {"service", _upstream->record.service}, {"group", _upstream->group->name.empty() ? "-" : _upstream->group->name}, {"for_ms", _durationMs}, {"told", _upstream->record.coldForMs.has_value()}, {"sends", *_upstream->coldSends}, {"gateways", this->coldLimits.at(_upstream->record.service).terms.gateways}});
 		}
 	}
 
-	void Board::endCold(Millis _now)
+	void UpstreamRegistry::expireCold(Millis _now)
 	{
 		for (const auto& [incarnation, upstream] : this->byIncarnation)
 		{
@@ -43,10 +43,10 @@
 		}
 	}
 
-	void Board::limitCold(const std::string& _service, const std::optional<ColdTerms>& _terms)
+	void UpstreamRegistry::setColdTerms(const std::string& _service, const std::optional<ColdCapacity>& _terms)
 	{
-		const auto held = this->coldLimits.find(_service);
-		const bool same = this->coldLimits.end() == held ? !_terms : _terms && held->second.terms == *_terms;
+		const auto current = this->coldLimits.find(_service);
+		const bool same = this->coldLimits.end() == current ? !_terms : _terms && current->second.terms == *_terms;
 		if (same)
 		{
 			return;
@@ -54,18 +54,18 @@
 		this->coldLimits.erase(_service);
 		if (_terms)
 		{
-			this->coldLimits[_service] = {*_terms, coldShareOf(*_terms)};
+			this->coldLimits[_service] = {*_terms, computeColdShare(*_terms)};
 		}
 		for (const GroupRef& group : this->groupsOf(_service))
 		{
 			for (const UpstreamRef& upstream : group->members)
 			{
-				this->setColdSends(*upstream);
+				this->updateColdSends(*upstream);
 			}
 		}
 	}
 
-	std::vector<std::string> Board::servicesLimitedCold() const
+	std::vector<std::string> UpstreamRegistry::servicesWithColdTerms() const
 	{
 		std::vector<std::string> result;
 		for (const auto& [service, limits] : this->coldLimits)
@@ -75,30 +75,30 @@
 		return result;
 	}
 
-	void Board::setColdSends(Upstream& _upstream) const
+	void UpstreamRegistry::updateColdSends(Upstream& _upstream) const
 	{
 		const auto limits = this->coldLimits.find(_upstream.record.service);
 		_upstream.coldSends.reset();
 		if (this->coldLimits.end() != limits)
 		{
-			_upstream.coldSends = sendsInWindow(limits->second.share, this->gateway, _upstream.record.incarnation);
+			_upstream.coldSends = coldSendsPerWindow(limits->second.share, this->gateway, _upstream.record.incarnation);
 		}
 	}
 
-	std::optional<Millis> Board::nextWarmMs(const std::string& _service, Millis _now) const
+	std::optional<Millis> UpstreamRegistry::nextWarmMs(const std::string& _service, Millis _now) const
 	{
-		std::optional<Millis> least;
+		std::optional<Millis> minMs;
 		for (const GroupRef& group : this->groupsOf(_service))
 		{
 			for (const UpstreamRef& upstream : group->members)
 			{
-				if (takesWork(*upstream) && isLimitedCold(*upstream, _now))
+				if (acceptsRequests(*upstream) && isColdLimited(*upstream, _now))
 				{
-					const Millis left = warmInMs(upstream->cold, _now);
-					least = std::min(least.value_or(left), left);
+					const Millis left = remainingColdMs(upstream->cold, _now);
+					minMs = std::min(minMs.value_or(left), left);
 				}
 			}
 		}
-		return least;
+		return minMs;
 	}
 } // namespace archdyke::gateway
--- a/src/group/sidecar.h
+++ b/src/group/sidecar.h
@@ -1,5 +1,5 @@
-/// The daemon beside one engine rank: tells its state, carries orders out, and coordinates its
-/// group when nobody else does.
+/// The daemon beside one engine rank: reports the rank's state, passes orders to the engine, and
+/// coordinates the group when no other daemon does.
 #pragma once
 
 #include "gateway/gateway_process.h"
@@ -7,13 +7,13 @@
 
 namespace archdyke::group
 {
-	/// What an adapter brings for one kind of deployment.
+	/// What an adapter provides for one kind of deployment.
 	struct SidecarDeployment
 	{
 		EngineCodec codec;
 		gateway::DocumentDecoders decoders;
 		store::TableNames tables;
-		std::unique_ptr<store::TableStore> (*makeStore)(http::LoopParts _loop, std::string _address);
+		std::unique_ptr<store::TableStore> (*makeStore)(http::LoopContext _loop, std::string _address);
 	};
 
 	/// @returns Exit code: 0, or 2 with a message when it can't start.
--- a/src/http/http_listener.cpp
+++ b/src/http/http_listener.cpp
@@ -8,13 +8,13 @@
 {
 	namespace
 	{
-		kj::Own<kj::ConnectionReceiver> bind(LoopParts _loop, const std::string& _address)
+		kj::Own<kj::ConnectionReceiver> bind(LoopContext _loop, const std::string& _address)
 		{
-			sockaddr_in target = socketAddress(_address);
+			sockaddr_in target = parseSocketAddress(_address);
 			return _loop.network.getSockaddr(&target, sizeof(target))->listen();
 		}
 
-		aio::Task<void> serveSmall(std::unique_ptr<HttpConnection> _connection, RequestHandler _handler)
+		aio::Task<void> serveConnection(std::unique_ptr<HttpConnection> _connection, RequestHandler _handler)
 		{
 			RequestHead head;
 			while (true)
@@ -26,9 +26,9 @@
 				}
 				else if (PartKind::End == part.kind)
 				{
-					WholeAnswer answer = _handler(head);
-					answer.head.keepAlive = head.keepAlive;
-					std::string bytes = serialize(answer.head, answer.body);
+					FullResponse response = _handler(head);
+					response.head.keepAlive = head.keepAlive;
+					std::string bytes = serialize(response.head, response.body);
 					co_await _connection->write(std::move(bytes));
 					if (!head.keepAlive)
 					{
@@ -43,7 +43,7 @@
 		}
 	} // namespace
 
-	Listener::Listener(LoopParts _loop, const std::string& _address, ConnectionHandler _handler)
+	Listener::Listener(LoopContext _loop, const std::string& _address, ConnectionHandler _handler)
 	    : handler(std::move(_handler))
 	    , receiver(bind(_loop, _address))
 	    , connections(*this)
@@ -65,7 +65,7 @@
 
 	void Listener::taskFailed(kj::Exception&& _error)
 	{
-		// A caller whose connection broke: its request was accounted for where it ended.
+		// Disconnects of callers aren't logged here: the affected request is accounted for when it ends.
 		if (kj::Exception::Type::DISCONNECTED != _error.getType())
 		{
 			logWarning("connection_failed", {{"reason", _error.getDescription().cStr()}});
@@ -80,7 +80,7 @@
 	ConnectionHandler serveRequests(RequestHandler _handler)
 	{
 		return [handler = std::move(_handler)](std::unique_ptr<HttpConnection> _connection) {
-			return serveSmall(std::move(_connection), handler);
+			return serveConnection(std::move(_connection), handler);
 		};
 	}
 } // namespace archdyke::http
--- a/tests/test_gateway.cpp
+++ b/tests/test_gateway.cpp
@@ -1,5 +1,5 @@
-/// The gateway as a process before stand-ins of the users' platform: whole answers and one's own,
-/// truth about what has not run, keys, leaving upstreams, planned stops.
+/// Tests of the gateway process with stubs of the platform: complete responses that belong to the request, correct
+/// statements that a request has not run, keys, leaving upstreams, planned stops.
 #include <atomic>
 #include <csignal>
 #include <future>
@@ -15,7 +15,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/safe/sheet?do=ok", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/safe/sheet?do=ok", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "GET /safe/sheet?do=ok ");
 	cr_assert(answer.headers.contains("X-Archdyke-Server-Stamp"));
@@ -37,7 +37,7 @@
 	rig.waitReady();
 	for (int call = 0; call < 12; ++call)
 	{
-		const RigAnswer answer = rig.call("/once/x?do=shed&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
+		const RigResponse answer = rig.call("/once/x?do=shed&only=a", GatewayRig::headersFor(fmt::format("r{}", call)));
 		cr_assert(200 == answer.status);
 	}
 }
@@ -46,20 +46,20 @@
 {
 	GatewayRig rig({"a", "b"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/once/x?do=shed", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x?do=shed", GatewayRig::headersFor("r1"));
 	cr_assert(503 == answer.status);
 	cr_assert(answer.headers.contains("Retry-After"));
 	cr_assert(0 == runsOf(rig, "r1"));
 }
 
-Test(gateway, what_may_have_run_is_never_told_as_not_run_nor_run_twice)
+Test(gateway, what_may_have_run_is_never_reported_as_not_run_nor_run_twice)
 {
 	GatewayRig rig({"a", "b"});
 	rig.waitReady();
 	for (const char* trouble : {"cut", "garbage", "unsigned", "encoded"})
 	{
 		const std::string request = std::string("once-") + trouble;
-		const RigAnswer answer = rig.call(std::string("/once/x?do=") + trouble, GatewayRig::headersFor(request));
+		const RigResponse answer = rig.call(std::string("/once/x?do=") + trouble, GatewayRig::headersFor(request));
 		cr_assert(502 == answer.status, "%s: %d", trouble, answer.status);
 		cr_assert(1 == runsOf(rig, request), "%s ran %d times", trouble, runsOf(rig, request));
 	}
@@ -74,17 +74,17 @@
 		for (int call = 0; call < 4; ++call)
 		{
 			const std::string target = fmt::format("/safe/x?do={}&only=a", trouble);
-			const RigAnswer answer = rig.call(target, GatewayRig::headersFor(fmt::format("{}-{}", trouble, call)));
+			const RigResponse answer = rig.call(target, GatewayRig::headersFor(fmt::format("{}-{}", trouble, call)));
 			cr_assert(200 == answer.status, "%s: %d", trouble, answer.status);
 		}
 	}
 }
 
-Test(gateway, an_answer_to_another_request_is_passed_over)
+Test(gateway, a_response_to_another_request_is_skipped)
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/once/x?do=foreign", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x?do=foreign", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "GET /once/x?do=foreign ");
 }
@@ -93,7 +93,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	const RigAnswer answer = rig.call("/once/x?do=unframed", GatewayRig::headersFor("r1"));
+	const RigResponse answer = rig.call("/once/x?do=unframed", GatewayRig::headersFor("r1"));
 	cr_assert(200 == answer.status);
 	cr_assert_str_eq(answer.body.c_str(), "GET /once/x?do=unframed ");
 }
@@ -103,7 +103,7 @@
 	GatewayRig rig({"a"});
 	rig.waitReady();
 	const Millis begun = nowMs();
-	const RigAnswer answer = rig.call("/once/x?do=hang", GatewayRig::headersFor("r1", 400));
+	const RigResponse answer = rig.call("/once/x?do=hang", GatewayRig::headersFor("r1", 400));
 	const Millis took = nowMs() - begun;
 	cr_assert(504 == answer.status);
 	cr_assert(400 <= took && took < 900, "took %d ms", int(took));
@@ -127,7 +127,7 @@
 	}));
 }
 
-/// A configuration that can't be read proves nothing of the one that is held.
+/// An unreadable configuration doesn't prove that the present one is still the newest.
 Test(gateway, an_unreadable_configuration_leaves_keys_unproved)
 {
 	GatewayRig rig({"a"});
@@ -168,8 +168,8 @@
 	cr_assert(200 == rig.call("/safe/x", GatewayRig::headersFor("r1", 1'500, "key-two")).status);
 }
 
-/// The revocation bound is 2 s here. A store that is away leaves keyed requests unproved; public
-/// ones go on.
+/// The revocation bound is 2 s here. While the store is unreachable, requests with keys are refused for lack of a
+/// proof; public requests are still served.
 Test(gateway, keys_hold_only_while_the_newest_configuration_is_proved)
 {
 	GatewayRig rig({"a"});
@@ -212,7 +212,7 @@
 			return "a" == _upstream["incarnation"] && _upstream["leaving"].get<bool>();
 		});
 	}));
-	rig.announce(rig.workers[0], "ready"); // what a list says again doesn't take it back
+	rig.announce(rig.workers[0], "ready"); // a later row that says ready doesn't make it available again
 	for (int call = 0; call < 10; ++call)
 	{
 		const std::string request = fmt::format("r{}", call);
@@ -245,7 +245,7 @@
 		cr_assert(200 == rig.call("/once/x", GatewayRig::headersFor(request)).status);
 		cr_assert(1 == runsOf(rig, request));
 	}
-	// Its address told that it is gone: nobody is sent there again.
+	// The process at its address reported another incarnation: the upstream is removed.
 	const Json dump = rig.dump();
 	cr_assert(std::none_of(dump["upstreams"].begin(), dump["upstreams"].end(), [](const Json& _upstream) {
 		return "ghost" == _upstream["incarnation"];
@@ -267,7 +267,7 @@
 {
 	GatewayRig rig({"a"});
 	rig.waitReady();
-	std::future<RigAnswer> stream = std::async(std::launch::async, [&] {
+	std::future<RigResponse> stream = std::async(std::launch::async, [&] {
 		return rig.call("/stream/x?do=stream", GatewayRig::headersFor("r1"));
 	});
 	cr_assert(lab::waitUntil(2'000, [&] {
@@ -277,7 +277,7 @@
 	cr_assert(lab::waitUntil(1'000, [&] {
 		return !rig.isReady();
 	}));
-	const RigAnswer answer = stream.get();
+	const RigResponse answer = stream.get();
 	cr_assert(200 == answer.status && answer.body == allEvents());
 	cr_assert(rig.gateway.process->waitForExit(6'000) == 0);
 }
@@ -323,9 +323,9 @@
 	cr_assert(200 == rig.call("/safe/x", GatewayRig::headersFor("r1")).status);
 }
 
-/// An upstream that takes requests and says nothing, while others answer, would swallow a share of
-/// them until their callers leave.
-Test(gateway, a_request_leaves_a_silent_upstream_and_others_pass_it_by)
+/// An upstream that accepts requests but never responds, while others do, would hold its share of the requests until
+/// their callers give up.
+Test(gateway, a_request_leaves_a_silent_upstream_and_others_avoid_it)
 {
 	GatewayRig rig({"w0", "w1", "w2"});
 	rig.waitReady();
@@ -340,13 +340,13 @@
 			}
 		});
 	}
-	rig.workers[0].process->signal(SIGSTOP); // its kernel still takes connections
+	rig.workers[0].process->signal(SIGSTOP); // the kernel still accepts connections
 	int slow = 0;
 	int unanswered = 0;
 	for (int call = 0; call < 30; ++call)
 	{
 		const Millis before = nowMs();
-		const RigAnswer answer = rig.call("/safe/x?do=ok", GatewayRig::headersFor(fmt::format("call-{}", call)));
+		const RigResponse answer = rig.call("/safe/x?do=ok", GatewayRig::headersFor(fmt::format("call-{}", call)));
 		unanswered += 200 == answer.status ? 0 : 1;
 		slow += nowMs() - before > 600 ? 1 : 0;
 	}
--- a/tests/test_lease.cpp
+++ b/tests/test_lease.cpp
@@ -1,5 +1,5 @@
-/// The lease without a common clock: fences rise, and no two act at once as long as their
-/// clocks run at one speed.
+/// Lease without synchronized clocks: fencing tokens increase, and no two holders act at once as long
+/// as their clocks run at the same rate.
 #include <map>
 #include <optional>
 
@@ -9,18 +9,18 @@
 
 using namespace archdyke;
 
-Test(lease, lapsed_holder_does_not_act)
+Test(lease, expired_holder_does_not_act)
 {
 	LeaseView view;
 	view.self = 1;
 	const LeaseStep step = decideLease(view, std::nullopt, 0);
 	cr_assert(step.write);
-	leaseWritten(view, step.row, 0, 10);
+	recordLeaseWrite(view, step.row, 0, 10);
 	cr_assert(1u == actingFence(view, 100).value());
-	cr_assert(!actingFence(view, kLeaseActMs));
+	cr_assert(!actingFence(view, kLeaseHolderTimeoutMs));
 }
 
-Test(lease, fences_rise_and_holders_do_not_overlap)
+Test(lease, fences_increase_and_holders_do_not_overlap)
 {
 	tests::checkProperty("three candidates with pauses", [] {
 		std::optional<LeaseRow> row;
@@ -49,7 +49,7 @@
 					const Millis wroteAt = now;
 					const Millis pause = pausedInBetween ? *rc::gen::inRange<Millis>(100, 8'000) : 0;
 					pausedUntil[self] = now + pause;
-					leaseWritten(views[self], step.row, wroteAt, now);
+					recordLeaseWrite(views[self], step.row, wroteAt, now);
 				}
 			}
 			int acting = 0;
--- a/tests/test_leaving.cpp
+++ b/tests/test_leaving.cpp
@@ -1,4 +1,4 @@
-/// An upstream that leaves gets no new work; a planned stop cuts off nothing.
+/// A leaving upstream gets no new requests, and a planned stop interrupts no request.
 #include <algorithm>
 #include <thread>
 
@@ -9,10 +9,11 @@
 
 namespace
 {
-	/// Sends calls until told to stop; the upstreams that got one after a time.
-	std::map<std::string, int> upstreamsOf(lab::Office& _office, std::uint32_t _calls)
+	/// Sends _calls requests.
+	/// @returns Number of requests by the upstream that ran them.
+	std::map<std::string, int> countRunsByUpstream(lab::Office& _office, std::uint32_t _calls)
 	{
-		lab::LoadOptions load = loadOn(_office);
+		lab::LoadOptions load = loadOptionsOf(_office);
 		load.requests = _calls;
 		load.perSecond = 200;
 		std::map<std::string, int> count;
@@ -25,7 +26,7 @@
 
 	lab::LoadResult loadWhile(lab::Office& _office, const std::function<void()>& _do)
 	{
-		lab::LoadOptions load = loadOn(_office);
+		lab::LoadOptions load = loadOptionsOf(_office);
 		load.requests = 500;
 		load.perSecond = 150;
 		load.tokens = 60;
@@ -36,7 +37,7 @@
 		const bool busy = lab::waitUntil(10'000, [&] {
 			return 80 <= _office.runs().size();
 		});
-		cr_assert(busy, "the load did not get going");
+		cr_assert(busy, "the load did not reach 80 runs");
 		_do();
 		thread.join();
 		return result;
@@ -44,11 +45,11 @@
 
 	void expectCleanExit(lab::Daemon& _daemon)
 	{
-		cr_assert(0 == _daemon.process->waitForExit(20'000), "%s did not stop in order", _daemon.name.c_str());
+		cr_assert(0 == _daemon.process->waitForExit(20'000), "%s did not exit with code 0", _daemon.name.c_str());
 	}
 } // namespace
 
-Test(leaving, the_vm_list_takes_work_away)
+Test(leaving, an_agent_listed_as_leaving_gets_no_work)
 {
 	lab::Office office(smallOffice());
 	makeReady(office);
@@ -67,7 +68,7 @@
 		}
 		return true;
 	}));
-	cr_assert(0 == upstreamsOf(office, 100)["shop-1"]);
+	cr_assert(0 == countRunsByUpstream(office, 100)["shop-1"]);
 }
 
 Test(leaving, a_draining_agent_refuses_whatever_the_entries_know)
@@ -76,8 +77,8 @@
 	makeReady(office);
 	office.platformFaults({{"outage", true}});
 	cr_assert(0 == office.command({"drain", office.agent("shop-2").admin}).exitCode);
-	// No entry has heard yet: the agent's own refusal keeps the work away.
-	const std::map<std::string, int> after = upstreamsOf(office, 100);
+	// During the outage no entry learns of it from the VM list: only the agent's own refusals keep requests away.
+	const std::map<std::string, int> after = countRunsByUpstream(office, 100);
 	cr_assert(!after.contains("shop-2"), "a draining agent got %d calls", after.at("shop-2"));
 }
 
@@ -87,7 +88,7 @@
 	makeReady(office);
 	office.announce(office.agent("shop-1"), "leaving");
 	cr_assert(lab::waitUntil(3'000, [&] {
-		return 0 == upstreamsOf(office, 20)["shop-1"];
+		return 0 == countRunsByUpstream(office, 20)["shop-1"];
 	}));
 	office.announce(office.agent("shop-1"), "live");
 	cr_assert(lab::waitUntil(5'000, [&] {
@@ -96,11 +97,11 @@
 			return "shop-1" == _agent["name"] && "live" == _agent["list"];
 		});
 	}));
-	cr_assert(0 == upstreamsOf(office, 60)["shop-1"]);
+	cr_assert(0 == countRunsByUpstream(office, 60)["shop-1"]);
 	office.agent("shop-1").process->kill();
 	office.restart(office.agent("shop-1"));
 	cr_assert(lab::waitUntil(10'000, [&] {
-		          return 0 < upstreamsOf(office, 20)["shop-1"];
+		          return 0 < countRunsByUpstream(office, 20)["shop-1"];
 	          }),
 	          "a new incarnation gets no work");
 }
@@ -116,8 +117,8 @@
 	expectCleanExit(office.agent("chat-1"));
 	expectCleanExit(office.agent("shop-1"));
 	expectNoViolation(lab::judge(result, office.runs()));
-	cr_assert(lab::figuresOf(result).broken == 0 && lab::figuresOf(result).unknown == 0);
-	cr_assert(lab::figuresOf(result).whole == lab::figuresOf(result).calls, "%u of %u whole", lab::figuresOf(result).whole, lab::figuresOf(result).calls);
+	cr_assert(lab::summarizeLoad(result).broken == 0 && lab::summarizeLoad(result).unknown == 0);
+	cr_assert(lab::summarizeLoad(result).whole == lab::summarizeLoad(result).calls, "%u of %u whole", lab::summarizeLoad(result).whole, lab::summarizeLoad(result).calls);
 }
 
 Test(stopping, an_entry_stops_without_cutting_anything)
@@ -129,7 +130,7 @@
 		entry.process->signal(SIGTERM);
 	});
 	expectCleanExit(entry);
-	const lab::LoadFigures figures = lab::figuresOf(result);
+	const lab::LoadSummary figures = lab::summarizeLoad(result);
 	expectNoViolation(lab::judge(result, office.runs()));
 	cr_assert(0 == figures.broken && 0 == figures.unknown);
 	cr_assert(figures.whole + figures.notRun == figures.calls, "%u whole and %u not run of %u", figures.whole, figures.notRun, figures.calls);
@@ -152,7 +153,7 @@
 	expectCleanExit(*office.entries()[0]);
 	expectCleanExit(office.agent("chat-3"));
 	expectCleanExit(office.agent("shop-2"));
-	const lab::LoadFigures figures = lab::figuresOf(result);
+	const lab::LoadSummary figures = lab::summarizeLoad(result);
 	expectNoViolation(lab::judge(result, office.runs()));
 	cr_assert(0 == figures.broken && 0 == figures.unknown, "%u broken, %u unknown", figures.broken, figures.unknown);
 }
--- a/tests/test_map_policy.cpp
+++ b/tests/test_map_policy.cpp
@@ -1,4 +1,4 @@
-/// When a map pays and which: windows of choices, limits on copies, pressure of the passes.
+/// Map planning: windows of choices, limits on copies, tolerated skew by pass duration.
 #include <cmath>
 #include <numeric>
 
@@ -26,10 +26,10 @@
 		return model;
 	}
 
-	/// Passes as long as the gaps may be: the least skew counts.
-	const PassPressure kTight{120.0, 120};
+	/// Passes as long as the objective allows, so that the tolerated skew is at its minimum.
+	const PassTiming kFullPressure{120.0, 120};
 
-	/// One expert of each set draws a quarter of the choices.
+	/// @returns A load in which one expert of each set receives a quarter of the choices.
 	ExpertLoad oneHot(std::uint32_t _expert)
 	{
 		ExpertLoad load(4, std::vector<double>(kExperts, 1.0));
@@ -54,7 +54,7 @@
 		return arrivals;
 	}
 
-	/// A switch copies no more than a rank can in its time, fits into the places and leaves every expert a rank.
+	/// Checks that a switch respects the copy budget and the places of each rank, and leaves every expert a host.
 	void checkLimits(const ExpertHosts& _from, const ExpertHosts& _to)
 	{
 		for (std::uint32_t rank = 0; rank < kRanks; ++rank)
@@ -62,9 +62,9 @@
 			std::uint32_t arrivals = 0;
 			for (std::uint32_t set = 0; set < 4; ++set)
 			{
-				const std::uint32_t ofSet = arrivalsOf(_from, _to, rank, set);
-				RC_ASSERT(ofSet <= 3U);
-				arrivals += ofSet;
+				const std::uint32_t setArrivals = arrivalsOf(_from, _to, rank, set);
+				RC_ASSERT(setArrivals <= 3U);
+				arrivals += setArrivals;
 			}
 			RC_ASSERT(double(arrivals) * engine().expertCopyMs <= kCopyBudgetMs);
 		}
@@ -88,35 +88,35 @@
 Test(mappolicy, a_window_holds_the_last_choices_of_one_epoch)
 {
 	ChoiceWindow window;
-	addPiece(window, {0, 100, 1, {9, 9}}, 200);
+	addChoiceSample(window, {0, 100, 1, {9, 9}}, 200);
 	cr_assert(!loadOf(window, 2, 200));
-	addPiece(window, {100, 200, 1, {1, 2}}, 200);
-	addPiece(window, {200, 300, 1, {3, 4}}, 200);
+	addChoiceSample(window, {100, 200, 1, {1, 2}}, 200);
+	addChoiceSample(window, {200, 300, 1, {3, 4}}, 200);
 	const std::optional<ExpertLoad> load = loadOf(window, 2, 200);
 	cr_assert(load && (*load)[0][0] == 4.0 && (*load)[0][1] == 6.0);
-	addPiece(window, {300, 400, 2, {1, 1}}, 200);
+	addChoiceSample(window, {300, 400, 2, {1, 1}}, 200);
 	cr_assert(!loadOf(window, 2, 200));
 }
 
-Test(mappolicy, experts_are_dealt_in_turn)
+Test(mappolicy, experts_are_assigned_round_robin)
 {
-	const ExpertHosts hosts = dealtInTurn(2, 5, 3);
+	const ExpertHosts hosts = roundRobinMap(2, 5, 3);
 	cr_assert(hosts.size() == 2 && hosts[1][4].front() == 1);
 	const auto ranks = expertsByRank(hosts, 3);
 	cr_assert(ranks[0][0] == (std::vector<std::uint32_t>{0, 3}));
 }
 
-/// Two switches take most of the skew of a hot expert away, each within the time that a rank may copy,
-/// and leave every expert a rank.
-Test(mappolicy, a_plan_keeps_the_limits_and_takes_the_skew)
+/// Two switches remove most of the skew of a hot expert, each within the copy budget, and leave every expert a
+/// host.
+Test(mappolicy, a_plan_keeps_the_limits_and_removes_the_skew)
 {
 	checkProperty("limits of a plan", [] {
-		const ExpertHosts dealt = dealtInTurn(4, kExperts, kRanks);
+		const ExpertHosts dealt = roundRobinMap(4, kExperts, kRanks);
 		const ExpertLoad load = oneHot(*rc::gen::inRange<std::uint32_t>(0, kExperts));
-		const MapDecision first = decideMap(engine(), kRanks, dealt, load, kTight);
+		const MapDecision first = planMap(engine(), kRanks, dealt, load, kFullPressure);
 		RC_ASSERT(first.worthwhile && first.skewBefore > 1.0);
 		checkLimits(dealt, first.hosts);
-		const MapDecision second = decideMap(engine(), kRanks, first.hosts, load, kTight);
+		const MapDecision second = planMap(engine(), kRanks, first.hosts, load, kFullPressure);
 		const ExpertHosts& last = second.worthwhile ? second.hosts : first.hosts;
 		RC_ASSERT(skewOf(last, load, kRanks) < 0.4);
 		checkLimits(first.hosts, last);
@@ -127,30 +127,30 @@
 {
 	cr_assert(toleratedSkew({10.0, 120}) > toleratedSkew({40.0, 120}));
 	cr_assert(toleratedSkew({40.0, 120}) > toleratedSkew({100.0, 120}));
-	cr_assert(std::abs(toleratedSkew({0.0, 120}) - toleratedSkew(kTight)) < 1e-9);
+	cr_assert(std::abs(toleratedSkew({0.0, 120}) - toleratedSkew(kFullPressure)) < 1e-9);
 }
 
 Test(mappolicy, nothing_is_moved_without_requests_or_skew)
 {
-	const ExpertHosts hosts = dealtInTurn(4, kExperts, kRanks);
+	const ExpertHosts hosts = roundRobinMap(4, kExperts, kRanks);
 	const ExpertLoad none(4, std::vector<double>(kExperts, 0.0));
 	const ExpertLoad even(4, std::vector<double>(kExperts, 1.0));
-	cr_assert(!decideMap(engine(), kRanks, hosts, none, {60.0, 120}).worthwhile);
-	cr_assert(!decideMap(engine(), kRanks, hosts, even, {60.0, 120}).worthwhile);
+	cr_assert(!planMap(engine(), kRanks, hosts, none, {60.0, 120}).worthwhile);
+	cr_assert(!planMap(engine(), kRanks, hosts, even, {60.0, 120}).worthwhile);
 }
 
-/// All ranks wait for the slowest, so experts leave a slow one, a few in each switch.
+/// All ranks wait for the slowest, so each switch moves a few experts away from a slow rank.
 Test(mappolicy, a_slow_rank_is_given_less)
 {
 	std::vector<double> paces(kRanks, 1.0);
 	paces[3] = 4.0;
 	const ExpertLoad even(4, std::vector<double>(kExperts, 1.0));
-	ExpertHosts hosts = dealtInTurn(4, kExperts, kRanks);
+	ExpertHosts hosts = roundRobinMap(4, kExperts, kRanks);
 	const double before = skewOf(hosts, even, kRanks, paces);
 	cr_assert(before > 2.0 && std::abs(skewOf(hosts, even, kRanks)) < 1e-9);
 	for (int switches = 0; switches < 8; ++switches)
 	{
-		const MapDecision decision = decideMap(engine(), kRanks, hosts, even, kTight, paces);
+		const MapDecision decision = planMap(engine(), kRanks, hosts, even, kFullPressure, paces);
 		hosts = decision.worthwhile ? decision.hosts : hosts;
 	}
 	const double after = skewOf(hosts, even, kRanks, paces);
@@ -159,8 +159,8 @@
 
 namespace
 {
-	/// Demand of one topic: shares fall with an expert's place in the topic's own order, over what all
-	/// topics have in common.
+	/// @returns The demand of one topic: shares decrease with an expert's position in a topic-specific order, on top of
+	/// a share common to all topics.
 	ExpertLoad topicLoad(const EngineModel& _model, std::uint64_t _topic)
 	{
 		constexpr double kSteepness = 0.92;
@@ -183,27 +183,27 @@
 	}
 } // namespace
 
-/// Other topics come up again and again, faster than a group of 24 ranks that copy an expert in 76 ms
-/// could follow with two copies a rank and switch: each shift took three to five switches.
+/// Topics change faster than a group of 24 ranks with 76 ms per copied expert can follow with two copies per rank and
+/// switch: each shift then took three to five switches.
 Test(mappolicy, a_shift_of_demand_ends_in_two_switches)
 {
 	constexpr std::uint32_t kLargeRanks = 24;
-	constexpr double kEnough = 0.6;
+	constexpr double kAcceptedSkew = 0.6;
 	EngineModel model;
 	model.sets = 16;
 	model.experts = 96;
 	model.places = 5;
 	model.spare = 2;
 	model.expertCopyMs = 76.0;
-	ExpertHosts hosts = dealtInTurn(model.sets, model.experts, kLargeRanks);
+	ExpertHosts hosts = roundRobinMap(model.sets, model.experts, kLargeRanks);
 	for (std::uint64_t topic = 1; topic <= 6; ++topic)
 	{
 		const ExpertLoad load = topicLoad(model, topic);
 		const double before = skewOf(hosts, load, kLargeRanks);
 		int switches = 0;
-		for (; switches < 8 && kEnough < skewOf(hosts, load, kLargeRanks); ++switches)
+		for (; switches < 8 && kAcceptedSkew < skewOf(hosts, load, kLargeRanks); ++switches)
 		{
-			hosts = decideMap(model, kLargeRanks, hosts, load, {150.0, 150}).hosts;
+			hosts = planMap(model, kLargeRanks, hosts, load, {150.0, 150}).hosts;
 		}
 		cr_assert(switches <= 2, "topic %d: %d switches from skew %f to %f", int(topic), switches, before, skewOf(hosts, load, kLargeRanks));
 	}
--- a/tests/test_membership.cpp
+++ b/tests/test_membership.cpp
@@ -1,4 +1,4 @@
-/// Leaving is sticky for an incarnation, from whatever source.
+/// A report from any source that an incarnation is leaving is permanent.
 #include "archdyke/membership.h"
 #include "check.h"
 
@@ -7,19 +7,19 @@
 Test(membership, leaving_from_any_source_wins)
 {
 	Member member;
-	hearLink(member, true);
-	hearAgent(member, 5, false);
+	applyLinkState(member, true);
+	applyAgentState(member, 5, false);
 	cr_assert(mayReceiveWork(member));
-	hearList(member, ListState::Leaving);
+	applyListState(member, ListState::Leaving);
 	cr_assert(!mayReceiveWork(member));
-	hearList(member, ListState::Live);
+	applyListState(member, ListState::Live);
 	cr_assert(!mayReceiveWork(member), "a list that lags took the leaving back");
-	hearAgent(member, 6, false);
+	applyAgentState(member, 6, false);
 	cr_assert(mayReceiveWork(member));
 }
 
-/// Naive version: remembers all that was ever said.
-Test(membership, same_as_naive_memory_of_everything)
+/// Reference model: remembers all reports.
+Test(membership, matches_a_model_that_remembers_all_reports)
 {
 	tests::checkProperty("member against full memory", [] {
 		Member member;
@@ -34,7 +34,7 @@
 			{
 			case 0:
 				list = ListState(*rc::gen::inRange(0, int(ListState::Count)));
-				hearList(member, list);
+				applyListState(member, list);
 				if (ListState::Live != list)
 				{
 					left.push_back(current);
@@ -42,11 +42,11 @@
 				break;
 			case 1:
 			{
-				// Incarnations only rise here: an old one's word doesn't come after a new one's.
+				// Incarnations only increase here: no report of an old one follows one of a new one.
 				current += *rc::gen::inRange<std::uint64_t>(0, 2);
 				current = 0 == current ? 1 : current;
 				const bool leaving = *rc::gen::arbitrary<bool>();
-				hearAgent(member, current, leaving);
+				applyAgentState(member, current, leaving);
 				if (leaving)
 				{
 					left.push_back(current);
@@ -55,7 +55,7 @@
 			}
 			default:
 				up = *rc::gen::arbitrary<bool>();
-				hearLink(member, up);
+				applyLinkState(member, up);
 			}
 			const bool gone = left.end() != std::find(left.begin(), left.end(), current);
 			RC_ASSERT(mayReceiveWork(member) == (up && ListState::Live == list && 0 != current && !gone));
--- a/tests/test_tries.cpp
+++ b/tests/test_tries.cpp
@@ -1,5 +1,5 @@
-/// Tries at upstreams on an event loop of the test: what holds from the choice of an upstream until bytes leave.
-// Before Criterion, whose macros break the hash headers.
+/// Tests of attempts at upstreams on an in-process event loop, from the choice of an upstream until bytes are sent.
+// Included before Criterion, whose macros break the hash headers.
 #include "base/address.h"
 #include "base/process.h"
 #include "gateway/relay.h"
@@ -26,15 +26,15 @@
 		return _head;
 	}
 
-	AnswerInfo decodeAnswer(const http::ResponseHead& _head)
+	ResponseInfo decodeResponse(const http::ResponseHead& _head)
 	{
-		AnswerInfo info;
+		ResponseInfo info;
 		info.requestId = std::string(_head.headers.find(kIdHeader).value_or(""));
 		info.signedByUpstream = true;
 		return info;
 	}
 
-	http::ResponseHead encodeAnswer(const http::ResponseHead& _head)
+	http::ResponseHead encodeResponse(const http::ResponseHead& _head)
 	{
 		return _head;
 	}
@@ -44,14 +44,14 @@
 		return {_refusal.status, {}, true};
 	}
 
-	/// An upstream that answers each request at once.
+	/// An upstream that responds to each request at once.
 	struct AnsweringUpstream
 	{
-		AnsweringUpstream(http::LoopParts _loop, std::string _name)
+		AnsweringUpstream(http::LoopContext _loop, std::string _name)
 		    : name(std::move(_name))
 		    , listener(_loop, "127.0.0.1:0", http::serveRequests([this](const http::RequestHead&) {
 			               this->arrivals += 1;
-			               http::WholeAnswer answer{{200, {}, true}, "done"};
+			               http::FullResponse answer{{200, {}, true}, "done"};
 			               answer.head.headers.add(kIdHeader, "r1");
 			               return answer;
 		               }))
@@ -68,13 +68,13 @@
 		http::Listener listener;
 	};
 
-	/// A gateway's state, two upstreams that it knows and one request of a caller.
+	/// A gateway's state with two known upstreams and one caller request.
 	struct TryRig
 	{
 		TryRig()
 		{
-			this->state.board.learn(this->first.record(), nowMs());
-			this->state.board.learn(this->second.record(), nowMs());
+			this->state.registry.learn(this->first.record(), nowMs());
+			this->state.registry.learn(this->second.record(), nowMs());
 			Catalog catalog;
 			catalog.routes.push_back({});
 			catalog.routes.front().maxAttempts = 1;
@@ -84,12 +84,12 @@
 			this->context.service = kService;
 			this->context.deadlineAt = nowMs() + 2'000;
 			this->context.received.head = {"GET", "/x", {}, true};
-			this->context.group = this->state.board.groupsOf(kService).front();
+			this->context.group = this->state.registry.groupsOf(kService).front();
 		}
 
 		UpstreamRef named(const std::string& _incarnation) const
 		{
-			for (const UpstreamRef& upstream : this->state.board.all())
+			for (const UpstreamRef& upstream : this->state.registry.all())
 			{
 				if (_incarnation == upstream->record.incarnation)
 				{
@@ -105,10 +105,10 @@
 		}
 
 		kj::AsyncIoContext io = kj::setupAsyncIo();
-		http::LoopParts loop{io.provider->getNetwork(), io.provider->getTimer()};
+		http::LoopContext loop{io.provider->getNetwork(), io.provider->getTimer()};
 		Metrics metrics;
 		GatewayCounters counters{metrics};
-		GatewayState state{GatewaySettings(), Codec{decodeRequest, encodeDispatch, decodeAnswer, encodeAnswer, encodeRefusal}, loop, counters, 1};
+		GatewayState state{GatewaySettings(), Codec{decodeRequest, encodeDispatch, decodeResponse, encodeResponse, encodeRefusal}, loop, counters, 1};
 		AnsweringUpstream first{loop, "first"};
 		AnsweringUpstream second{loop, "second"};
 		kj::TwoWayPipe pipe = io.provider->newTwoWayPipe();
@@ -117,25 +117,26 @@
 	};
 } // namespace
 
-/// Load pattern: a burst waits for connections to an upstream that turns the first ones away and asks for nothing.
-Test(tries, a_request_that_waits_for_its_connection_isnt_sent_to_an_upstream_that_asked_for_nothing)
+/// Load pattern: a burst of requests waits for connections to an upstream that refuses the first ones and asks callers
+/// to back off.
+Test(tries, a_request_that_waits_for_its_connection_isnt_sent_to_an_upstream_that_asked_to_back_off)
 {
 	TryRig rig;
-	kj::Promise<TryResult> result = tryUpstream(rig.context, rig.named("first")).take();
-	rig.state.board.takeBackOff(rig.named("first"), 3'000, nowMs());
-	const TryResult ended = result.wait(rig.io.waitScope);
-	cr_assert(ended.withheld && !ended.answered && Proof::NotRun == ended.proof);
+	kj::Promise<AttemptResult> result = attemptUpstream(rig.context, rig.named("first")).take();
+	rig.state.registry.applyBackOff(rig.named("first"), 3'000, nowMs());
+	const AttemptResult ended = result.wait(rig.io.waitScope);
+	cr_assert(ended.withheld && !ended.answered && ExecutionProof::NotRun == ended.proof);
 	cr_assert(0 == rig.context.sends && !rig.context.maybeRunning && 0 == rig.first.arrivals);
 }
 
-/// It takes none of the tries that its route allows: here one.
-Test(tries, a_withheld_request_goes_to_another_upstream_as_if_nothing_had_been)
+/// A withheld send doesn't count against the route's maximum number of attempts, here one.
+Test(tries, a_withheld_request_goes_to_another_upstream_without_using_an_attempt)
 {
 	TryRig rig;
 	kj::Promise<std::optional<Refusal>> refusal = dispatch(rig.context).take();
 	const std::string chosen = rig.context.upstream;
 	const std::string other = "first" == chosen ? "second" : "first";
-	rig.state.board.takeBackOff(rig.named(chosen), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named(chosen), 3'000, nowMs());
 	cr_assert(!refusal.wait(rig.io.waitScope));
 	cr_assert(Ending::Answered == rig.context.ending && 200 == rig.context.status);
 	cr_assert(0 == rig.upstream(chosen).arrivals && 1 == rig.upstream(other).arrivals);
@@ -146,8 +147,8 @@
 {
 	TryRig rig;
 	kj::Promise<std::optional<Refusal>> result = dispatch(rig.context).take();
-	rig.state.board.takeBackOff(rig.named("first"), 3'000, nowMs());
-	rig.state.board.takeBackOff(rig.named("second"), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named("first"), 3'000, nowMs());
+	rig.state.registry.applyBackOff(rig.named("second"), 3'000, nowMs());
 	const std::optional<Refusal> refusal = result.wait(rig.io.waitScope);
 	cr_assert(refusal && 503 == refusal->status && "back_off" == refusal->reason && refusal->comeBackMs);
 	cr_assert(0 == rig.first.arrivals + rig.second.arrivals && 0 == rig.context.sends);
