--- a/scripts/ablation.sh
+++ b/scripts/ablation.sh
@@ -1,12 +1,13 @@
 #!/usr/bin/env bash
-# What each mechanism is worth: takes one out of a scratch copy at a time and plays days of a
-# deployment with the bench of the users' platform. Prints the worth of each play, by day.
+# Ablation: disables one mechanism at a time in a scratch copy and plays days of a deployment with the
+# bench of the users' platform. Prints the worth of each run, by day.
 #   ARCHDYKE_BENCH=PROGRAM scripts/ablation.sh SITE "DAY..." "SEED..." [NAME]...
-# Without names: all mechanisms, after "none". ARCHDYKE_ABLATION: the scratch copy, kept.
+# Without names, plays "none" (nothing disabled) and then all ablations. ARCHDYKE_ABLATION: directory of
+# the scratch copy, which is kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source=$PWD
-bench=${ARCHDYKE_BENCH:?the program that plays days}
+bench=${ARCHDYKE_BENCH:?set it to the program that plays days}
 site=$(realpath "$1") days=$2 seeds=$3
 shift 3
 wanted=" $* "
--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures: scripts/bench.sh placement|routing|overload|cost|groups|maps|shifts|overhead [--output json] [--plot DIR]
-# --plot writes SVG files of the bench's tables through gnuplot.
+# Runs a bench: scripts/bench.sh placement|routing|overload|cost|groups|maps|shifts|overhead [--output json] [--plot DIR]
+# --plot writes the bench's tables as SVG files, with gnuplot.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh release >&2
--- a/scripts/chaos.sh
+++ b/scripts/chaos.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Seeded faults on a whole office: scripts/chaos.sh [--seed N] [--seeds N] [--faults N] [--file FILE]
+# Injects seeded faults into a complete office: scripts/chaos.sh [--seed N] [--seeds N] [--faults N] [--file FILE]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh release
--- a/scripts/days.sh
+++ b/scripts/days.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Plays the days of tests/days, each with one trouble or a pair, with the users' bench and prints a
-# table.
+# Plays the days of tests/days, each with one fault or two, with the bench of the users' platform and
+# prints a table.
 #   scripts/days.sh BENCH SITE [NAME...]      BENCH: path of fleetbench; SITE: a site file
-# CI doesn't run it: it needs the users' kit.
+# Not run in CI, as it needs the users' bench.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 export bench=$1 site=$2
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs the main job on the embedded stand-ins: scripts/demo.sh [menu|hallavegir]
+# Runs the demo on the stubs: scripts/demo.sh [menu|hallavegir]
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh release
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Generates the Cap'n Proto code from src/*.capnp into src/generated.
-# With --check: fails when the committed code doesn't match its schema.
+# With --check: fails when the committed code doesn't match its schema, and changes nothing.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=src/generated
@@ -11,7 +11,7 @@
 	mv "$out/$schema.capnp.c++" "$out/$schema.capnp.cpp"
 	if [ "$check" = 1 ]; then
 		diff -q "$out/$schema.capnp.h" "src/generated/$schema.capnp.h" && diff -q "$out/$schema.capnp.cpp" "src/generated/$schema.capnp.cpp" \
-			|| { echo "src/generated is older than src/$schema.capnp: run scripts/generate.sh and commit it" >&2; exit 1; }
+			|| { echo "src/generated does not match src/$schema.capnp: run scripts/generate.sh and commit it" >&2; exit 1; }
 	fi
 done
 [ "$check" = 0 ] || echo "generated code matches its schema"
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Formatter, linter and the check of locks (-Wthread-safety), clean or fail. --fix formats
-# in place.
+# Runs the formatter check, the linter and the lock analysis (-Wthread-safety); fails on any finding.
+# --fix only formats the files in place.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mapfile -t files < <(git ls-files -co --exclude-standard 'src/*.h' 'src/*.cpp' 'platform/*' 'src/decide/*' 'include/*.h' 'tools/*.h' 'tools/*.cpp' 'tests/*.h' 'tests/*.cpp' | grep -v '^src/generated/' | sort -u)
--- a/scripts/mutants.sh
+++ b/scripts/mutants.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Shows that the proofs can fail: takes one mechanism out of a scratch copy at a time and
-# runs the tests that should notice. Prints, for each, whether they did.
-#   scripts/mutants.sh [NAME]    one mutant only
+# Mutation test: disables one mechanism at a time in a scratch copy and runs the tests that should
+# fail. Prints for each mutant whether they did.
+#   scripts/mutants.sh [NAME]    runs only this mutant
+# ARCHDYKE_MUTANTS: directory of the scratch copy, which is then kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 source=$PWD
--- a/scripts/plot-placement.gp
+++ b/scripts/plot-placement.gp
@@ -1,4 +1,4 @@
-# Skew and moves of each version of placement, both seasons. Reads placement-N.tsv.
+# Plots skew and staged experts of each placement version, for both seasons. Reads placement-N.tsv.
 set datafile separator "\t"
 set terminal svg size 900,420 font "sans,12"
 set style data histograms
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what the build needs from Debian's packages, and builds. Does nothing twice.
-#   scripts/setup.sh [PRESET]     preset of CMakePresets.json, release when left out
+# Installs the Debian packages that the build needs, and builds. Skips packages that are installed.
+#   scripts/setup.sh [PRESET]     preset of CMakePresets.json; default: release
 set -euo pipefail
 cd "$(dirname "$0")/.."
 packages=(
--- a/scripts/soak.sh
+++ b/scripts/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Seeded faults on the programs for the users' platform: scripts/soak.sh [--seed N] [--seeds N] [--faults N] [--series N] [--large]
-# Prints a line a seed and what was violated; the logs of a seed with violations are kept.
+# Injects seeded faults into the programs for the users' platform: scripts/soak.sh [--seed N] [--seeds N] [--faults N] [--series N] [--large]
+# Prints one line per seed and its violations; keeps the logs of seeds with violations.
 set -euo pipefail
 exec "$(dirname "$0")/chaos.sh" --platform "$@"
